--- a/benches/decisions.rs
+++ b/benches/decisions/keyed.rs
@@ -1,10 +1,10 @@
-//! What one decision costs: a route, a token batch, a heartbeat, a new bundle, by the number of
-//! endpoints.
+//! What one decision costs where requests are known by a key: a route, a token batch, a heartbeat,
+//! a new bundle.
 
 use std::sync::Arc;
 use std::time::Duration;
 
-use criterion::{BatchSize, BenchmarkId, Criterion, criterion_group, criterion_main};
+use criterion::{BatchSize, BenchmarkId, Criterion, criterion_group};
 use magpiemoor::bundle::parts::{join, split};
 use magpiemoor::bundle::sign::unsigned;
 use magpiemoor::bundle::{Bundle, SignedBundle};
@@ -274,4 +274,3 @@
 }
 
 criterion_group!(benches, route, token, beat, change);
-criterion_main!(benches);
