--- a/lab/src/journal.rs
+++ b/lab/src/journal.rs
@@ -4,10 +4,9 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
+use plotters::prelude::*;
 use serde_json::{Value, json};
 
-use crate::bench::report::{plot, print_table};
-
 /// The fields of the table.
 const FIELDS: [&str; 8] = [
     "entry",
@@ -20,6 +19,9 @@
     "store_calls",
 ];
 
+/// The size of the picture.
+const SIZE: (u32, u32) = (800, 480);
+
 /// Reads the scores of a journal, the oldest first.
 ///
 /// # Errors
@@ -101,3 +103,67 @@
         &lines,
     )
 }
+
+/// Prints rows of objects as a table, with the fields named.
+fn print_table(rows: &[Value], fields: &[&str]) {
+    let cell = |row: &Value, field: &str| match row.pointer(&format!("/{field}")) {
+        Some(Value::Number(n)) => n.as_f64().map_or(n.to_string(), |f| format!("{f:.2}")),
+        Some(Value::String(s)) => s.clone(),
+        Some(other) => other.to_string(),
+        None => String::new(),
+    };
+    let header: Vec<String> = fields.iter().map(|f| format!("{f:>22}")).collect();
+    println!("{}", header.join(" "));
+    for row in rows {
+        let cells: Vec<String> = fields
+            .iter()
+            .map(|f| format!("{:>22}", cell(row, f)))
+            .collect();
+        println!("{}", cells.join(" "));
+    }
+}
+
+/// Draws lines of points, each with a name, as SVG.
+fn plot(
+    path: &str,
+    title: &str,
+    axes: (&str, &str),
+    lines: &[(String, Vec<(f64, f64)>)],
+) -> Result<(), String> {
+    let points = || lines.iter().flat_map(|(_, points)| points);
+    let most_x = points().map(|p| p.0).fold(1.0, f64::max);
+    let most_y = points().map(|p| p.1).fold(0.01, f64::max);
+    let area = SVGBackend::new(path, SIZE).into_drawing_area();
+    let failed = |e: String| format!("{path}: {e}");
+    area.fill(&WHITE).map_err(|e| failed(e.to_string()))?;
+    let mut chart = ChartBuilder::on(&area)
+        .caption(title, ("sans-serif", 20))
+        .margin(10)
+        .x_label_area_size(40)
+        .y_label_area_size(60)
+        .build_cartesian_2d(0.0..most_x * 1.05, 0.0..most_y * 1.05)
+        .map_err(|e| failed(e.to_string()))?;
+    chart
+        .configure_mesh()
+        .x_desc(axes.0)
+        .y_desc(axes.1)
+        .draw()
+        .map_err(|e| failed(e.to_string()))?;
+    for (place, (name, points)) in lines.iter().enumerate() {
+        let colour = Palette99::pick(place).to_rgba();
+        chart
+            .draw_series(LineSeries::new(
+                points.iter().copied(),
+                colour.stroke_width(2),
+            ))
+            .map_err(|e| failed(e.to_string()))?
+            .label(name)
+            .legend(move |(x, y)| PathElement::new(vec![(x, y), (x + 16, y)], colour));
+    }
+    chart
+        .configure_series_labels()
+        .border_style(BLACK)
+        .draw()
+        .map_err(|e| failed(e.to_string()))?;
+    area.present().map_err(|e| failed(e.to_string()))
+}
