--- a/src/bundle.rs
+++ b/src/bundle.rs
@@ -13,9 +13,9 @@
 use serde::{Deserialize, Serialize};
 
 use crate::schema::{
-    BundleMark, BundleSource, BundleVersion, CallName, CallSpec, DomainId, EndpointId,
-    EndpointKind, EndpointSpec, ModelId, ModelSpec, OrganisationId, OrganisationSpec, PartHash,
-    Policy, ServiceId, SignedManifest,
+    BundleMark, BundleSource, BundleVersion, CallName, CallSpec, EndpointId, EndpointKind,
+    EndpointSpec, ModelId, ModelSpec, OrganisationId, OrganisationSpec, PartHash, Policy,
+    ServiceId, SignedManifest,
 };
 
 pub use sign::TrustedKeys;
@@ -174,14 +174,6 @@
         self.endpoints.values()
     }
 
-    /// The endpoints of one failure domain.
-    pub fn endpoints_in<'a>(
-        &'a self,
-        domain: &'a DomainId,
-    ) -> impl Iterator<Item = &'a EndpointSpec> {
-        self.endpoints.values().filter(move |e| &e.domain == domain)
-    }
-
     /// The engines that serve a model.
     #[must_use]
     pub fn engines_for(&self, model: &ModelId) -> &[EndpointId] {
--- a/src/dispatch.rs
+++ b/src/dispatch.rs
@@ -140,7 +140,10 @@
                 attempt,
                 outcome,
             } => self.on_ended(request, attempt, &outcome),
-            Event::Probed { endpoint, load } => self.on_probed(&endpoint, load),
+            Event::Probed {
+                endpoint,
+                is_answered,
+            } => self.on_probed(&endpoint, is_answered),
             Event::Table(table) => self.on_table(table),
             Event::EndpointsListed { specs, at } => self.on_listed(specs, at),
             Event::EndpointsChanged { changes, at } => self.on_changed(changes, at),
--- a/src/dispatch/action.rs
+++ b/src/dispatch/action.rs
@@ -38,17 +38,8 @@
     pub resume_from: Option<BackupAt>,
     /// How long to wait for a connection.
     pub connect_limit: Duration,
-    /// Whether a connection that has rested may be used.
-    pub reuse: Reuse,
-}
-
-/// Which connections a sending may use.
-#[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Reuse {
-    /// One that has rested no longer than this.
-    Rested(Duration),
-    /// A new one only.
-    Never,
+    /// How long a connection that is used again may have rested.
+    pub longest_rest: Duration,
 }
 
 /// Why a request gets no answer of an endpoint.
--- a/src/dispatch/event.rs
+++ b/src/dispatch/event.rs
@@ -182,8 +182,8 @@
     Probed {
         /// The endpoint.
         endpoint: EndpointId,
-        /// What it says of itself, if it answered.
-        load: Option<EndpointLoad>,
+        /// Whether it answered in time.
+        is_answered: bool,
     },
     /// A configuration was read.
     Table(Arc<RoutingTable>),
@@ -246,14 +246,3 @@
         name: Option<CopyName>,
     },
 }
-
-/// What an endpoint says of itself.
-#[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct EndpointLoad {
-    /// Requests that wait there.
-    pub queued: u32,
-    /// Requests that run there.
-    pub active: u32,
-    /// Tokens of KV memory that can't give way.
-    pub kv_used: u32,
-}
--- a/src/dispatch/sending.rs
+++ b/src/dispatch/sending.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::Dispatcher;
-use super::action::{BackupAt, Command, Refusal, RefusalReason, Reuse, Sending};
+use super::action::{BackupAt, Command, Refusal, RefusalReason, Sending};
 use super::copies::first_look;
 use super::event::{RequestNumber, Tokens, Try};
 use super::placement::{CONNECT_LIMIT, Demand};
@@ -89,7 +89,7 @@
             backup_to: backup.as_ref().map(|(_, address)| *address),
             resume_from: copy.cloned(),
             connect_limit: CONNECT_LIMIT,
-            reuse: reuse(request),
+            longest_rest: longest_rest(request),
         };
         let record = Record::Sent {
             request: request.arrival.id.clone(),
@@ -266,11 +266,11 @@
     }
 }
 
-fn reuse(request: &Request) -> Reuse {
+fn longest_rest(request: &Request) -> Duration {
     if request.route.kind.may_repeat() {
-        Reuse::Rested(LONGEST_REST)
+        LONGEST_REST
     } else {
-        Reuse::Rested(ONCE_REST)
+        ONCE_REST
     }
 }
 
--- a/src/dispatch/silence.rs
+++ b/src/dispatch/silence.rs
@@ -9,7 +9,7 @@
 
 use super::Dispatcher;
 use super::action::{Action, Command};
-use super::event::{EndpointLoad, Fault, Outcome, RequestNumber};
+use super::event::{Fault, Outcome, RequestNumber};
 use super::record::Record;
 use super::request::Request;
 use super::sending::has_come;
@@ -110,13 +110,13 @@
         }
     }
 
-    pub(super) fn on_probed(&mut self, id: &EndpointId, load: Option<EndpointLoad>) {
+    pub(super) fn on_probed(&mut self, id: &EndpointId, is_answered: bool) {
         let now = self.now;
         let Some(endpoint) = self.fleet.get_mut(id) else {
             return;
         };
         let asked = endpoint.probe_sent.take().unwrap_or(now);
-        if load.is_some() {
+        if is_answered {
             endpoint.heard = now;
             self.fleet.on_reached(id);
             return;
--- a/src/dispatch/table.rs
+++ b/src/dispatch/table.rs
@@ -31,8 +31,6 @@
     Stream {
         /// Whether another endpoint may go on after an event.
         resumable: bool,
-        /// The longest pause between events that is still in time.
-        longest_pause: Duration,
     },
 }
 
@@ -43,7 +41,7 @@
         match self {
             Self::Repeatable => true,
             Self::Once => false,
-            Self::Stream { resumable, .. } => resumable,
+            Self::Stream { resumable } => resumable,
         }
     }
 
@@ -78,8 +76,6 @@
     pub timeout: Duration,
     /// The time within which an answer is in time.
     pub objective: Duration,
-    /// The rank; 0 is the most urgent.
-    pub priority: u8,
     /// The services that answer it; never empty.
     pub targets: Vec<Target>,
     /// How many endpoints one request may be sent to.
@@ -124,8 +120,6 @@
     pub name: ServiceId,
     /// The path of its health check.
     pub health_path: String,
-    /// The connections that one endpoint takes from all callers.
-    pub max_connections: u32,
     /// Its model engines, if it has them.
     pub engine: Option<EngineSpec>,
 }
@@ -135,8 +129,6 @@
 pub struct KeyHolder {
     /// The organisation.
     pub organisation: OrganisationId,
-    /// Its rank, which comes before that of a route.
-    pub priority: u8,
 }
 
 /// Bounds on what a caller may send.
--- a/src/gateway/dialect.rs
+++ b/src/gateway/dialect.rs
@@ -9,7 +9,7 @@
 use gotham::hyper::{HeaderMap, StatusCode};
 
 use crate::dispatch::action::{Refusal, Sending};
-use crate::dispatch::event::{Arrival, CopyName, EndpointLoad, EndpointSpec, NotRunCause};
+use crate::dispatch::event::{Arrival, CopyName, EndpointSpec, NotRunCause};
 use crate::dispatch::table::{RoutingTable, TableError};
 use crate::schema::EndpointId;
 
@@ -86,8 +86,8 @@
     /// The path at which an endpoint tells how it stands.
     fn load_path(&self) -> &'static str;
 
-    /// Reads how an endpoint stands.
-    fn read_load(&self, body: &[u8]) -> Option<EndpointLoad>;
+    /// Whether what answered this at the path of [`Self::load_path`] is a model engine.
+    fn is_engine(&self, body: &[u8]) -> bool;
 
     /// The path and body with which an engine is asked to copy the memory of a run.
     fn copy_request(&self, run: &str, to: SocketAddr) -> (&'static str, String);
--- a/src/gateway/headers.rs
+++ b/src/gateway/headers.rs
@@ -22,16 +22,6 @@
     headers.get(name)?.to_str().ok()
 }
 
-/// Whether a head says that its connection closes.
-#[must_use]
-pub fn closes(headers: &HeaderMap) -> bool {
-    let values = headers.get_all(header::CONNECTION).iter();
-    values
-        .filter_map(|v| v.to_str().ok())
-        .flat_map(|v| v.split(','))
-        .any(|token| token.trim().eq_ignore_ascii_case("close"))
-}
-
 /// The headers of a head that concern more than its connection.
 #[must_use]
 pub fn passed_on(headers: &HeaderMap) -> HeaderMap {
--- a/src/gateway/probes.rs
+++ b/src/gateway/probes.rs
@@ -7,7 +7,7 @@
 use gotham::hyper::StatusCode;
 use tokio::task::JoinSet;
 
-use crate::dispatch::event::{EndpointLoad, EndpointSpec, Event, RequestNumber};
+use crate::dispatch::event::{EndpointSpec, Event, RequestNumber};
 use crate::gateway::GatewayShared;
 use crate::gateway::input::Input;
 use crate::gateway::pool::{Connection, Pool};
@@ -26,11 +26,14 @@
     limit: Duration,
     shared: GatewayShared,
 ) {
-    let load = tokio::time::timeout(limit, ask(address, limit, &shared)).await;
-    let load = load.ok().flatten();
-    shared
-        .tell(Input::Event(Event::Probed { endpoint, load }))
-        .await;
+    // An endpoint that answers is there, whatever it says.
+    let path = shared.dialect.load_path();
+    let got = tokio::time::timeout(limit, get(address, path, limit, &shared)).await;
+    let event = Event::Probed {
+        endpoint,
+        is_answered: got.is_ok_and(|answer| answer.is_some()),
+    };
+    shared.tell(Input::Event(event)).await;
 }
 
 /// Asks endpoints which of them keeps a part of a prompt and tells of the first that does.
@@ -89,21 +92,11 @@
     let path = shared.dialect.load_path();
     let got = tokio::time::timeout(LOCATE_LIMIT, get(address, path, LOCATE_LIMIT, &shared)).await;
     let body = got.ok().flatten().flatten();
-    if body.is_some_and(|body| shared.dialect.read_load(&body).is_some()) {
+    if body.is_some_and(|body| shared.dialect.is_engine(&body)) {
         shared.tell(Input::Event(Event::Identified(spec))).await;
     }
 }
 
-async fn ask(address: SocketAddr, limit: Duration, shared: &GatewayShared) -> Option<EndpointLoad> {
-    let path = shared.dialect.load_path();
-    let body = get(address, path, limit, shared).await?;
-    // An endpoint that answers is there, whatever it says.
-    Some(
-        body.and_then(|body| shared.dialect.read_load(&body))
-            .unwrap_or_default(),
-    )
-}
-
 /// Gets a path of an endpoint: `None` without an answer, `Some(None)` for one without success.
 async fn get(
     address: SocketAddr,
--- a/src/gateway/sending.rs
+++ b/src/gateway/sending.rs
@@ -9,7 +9,7 @@
 use gotham::hyper::{HeaderMap, Request, Response, StatusCode};
 use http_body_util::{BodyExt, Full, Limited};
 
-use crate::dispatch::action::{Reuse, Sending};
+use crate::dispatch::action::Sending;
 use crate::dispatch::event::{Fault, Outcome};
 use crate::gateway::pool::{Connection, Pool, SendError};
 use crate::gateway::{GatewayShared, headers};
@@ -48,9 +48,7 @@
     let started = Instant::now();
     let mut sending = sending.clone();
     sending.after_event = sending.after_event.max(after);
-    if let Reuse::Rested(rest) = sending.reuse
-        && let Some(mut connection) = shared.pool.take(sending.address, rest)
-    {
+    if let Some(mut connection) = shared.pool.take(sending.address, sending.longest_rest) {
         match connection.send(outgoing(shared, request, &sending)).await {
             Ok(response) => return Ok((response, connection)),
             // It was closed before a byte of the request was written.
--- a/tests/gateway/fixtures.rs
+++ b/tests/gateway/fixtures.rs
@@ -9,7 +9,7 @@
 use magpiemoor::dispatch::action::{Action, Command, RefusalReason, Sending};
 use magpiemoor::dispatch::budget::RetryPolicy;
 use magpiemoor::dispatch::event::{
-    Arrival, EndpointChange, EndpointLoad, EndpointSpec, Event, Outcome, RequestNumber, Tokens, Try,
+    Arrival, EndpointChange, EndpointSpec, Event, Outcome, RequestNumber, Tokens, Try,
 };
 use magpiemoor::dispatch::record::Record;
 use magpiemoor::dispatch::table::{
@@ -84,7 +84,6 @@
             ServiceSpec {
                 name: "engines".parse().unwrap(),
                 health_path: "/healthz".to_owned(),
-                max_connections: 100,
                 engine: Some(EngineSpec {
                     kv_tokens: 55_000,
                     backups: true,
@@ -95,7 +94,6 @@
             ServiceSpec {
                 name: "till".parse().unwrap(),
                 health_path: "/healthz".to_owned(),
-                max_connections: 100,
                 engine: None,
             },
         ],
@@ -103,7 +101,6 @@
             KEY.to_owned(),
             KeyHolder {
                 organisation: "shop".parse().unwrap(),
-                priority: 1,
             },
         )])),
         limits: CallerLimits {
@@ -117,13 +114,7 @@
 
 pub fn route(path: &str) -> Route {
     let (kind, service) = match path {
-        STREAMS => (
-            RouteKind::Stream {
-                resumable: true,
-                longest_pause: Duration::from_millis(700),
-            },
-            "engines",
-        ),
+        STREAMS => (RouteKind::Stream { resumable: true }, "engines"),
         QUOTES => (RouteKind::Repeatable, "till"),
         _ => (RouteKind::Once, "till"),
     };
@@ -135,7 +126,6 @@
         kind,
         timeout: Duration::from_millis(if is_stream { 25_000 } else { 800 }),
         objective: Duration::from_millis(if is_stream { 4_500 } else { 100 }),
-        priority: 1,
         targets: vec![Target {
             service: service.parse().unwrap(),
             weight: 1,
@@ -257,10 +247,11 @@
         });
     }
 
-    pub fn probed(&mut self, endpoint: &EndpointId, is_there: bool) -> &[Action] {
-        let load = is_there.then(EndpointLoad::default);
-        let endpoint = endpoint.clone();
-        self.handle(Event::Probed { endpoint, load })
+    pub fn probed(&mut self, endpoint: &EndpointId, is_answered: bool) -> &[Action] {
+        self.handle(Event::Probed {
+            endpoint: endpoint.clone(),
+            is_answered,
+        })
     }
 }
 
--- a/tests/gateway_parts.rs
+++ b/tests/gateway_parts.rs
@@ -186,7 +186,6 @@
     let passed = headers::passed_on(&headers);
     assert_eq!(passed.len(), 1);
     assert!(passed.contains_key("x-other"));
-    assert!(headers::closes(&headers));
 }
 
 #[test]
