--- a/src/cli/observe.rs
+++ b/src/cli/observe.rs
@@ -10,13 +10,10 @@
 use crate::cli::{CliError, Output, block_on};
 use crate::daemon::input::Status;
 use crate::http::{Call, Client};
-use crate::schema::HybridTime;
 use crate::timeline::{Entry, merge};
 
 /// How long a box may take to answer.
 const ANSWER_LIMIT: Duration = Duration::from_secs(3);
-/// Bits of a hybrid reading below the milliseconds.
-const COUNTER_BITS: u32 = 16;
 
 /// The boxes' addresses that were given.
 #[must_use]
@@ -106,8 +103,7 @@
 /// One event as a line for a person.
 #[must_use]
 pub fn show(entry: &Entry) -> String {
-    let HybridTime(at) = entry.at;
-    let (millis, counter) = (at >> COUNTER_BITS, at & ((1 << COUNTER_BITS) - 1));
+    let (millis, counter) = (entry.at.millis(), entry.at.counter());
     format!(
         "{millis}.{counter:<3} {:<12} {:<20} {} {}",
         entry.source, entry.event, entry.subject, entry.detail
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -62,6 +62,20 @@
     }
 }
 
+impl HybridTime {
+    /// Milliseconds since the Unix epoch.
+    #[must_use]
+    pub fn millis(self) -> u64 {
+        self.0 >> COUNTER_BITS
+    }
+
+    /// Which event of its millisecond it is.
+    #[must_use]
+    pub fn counter(self) -> u64 {
+        self.0 & ((1 << COUNTER_BITS) - 1)
+    }
+}
+
 /// Returns milliseconds since the Unix epoch.
 #[must_use]
 pub fn wall_millis() -> u64 {
--- a/src/explain.rs
+++ b/src/explain.rs
@@ -12,15 +12,13 @@
 use crate::dispatch::action::RefusalReason;
 use crate::dispatch::event::Fault;
 use crate::dispatch::record::Record;
-
-/// Bits of a hybrid reading below the milliseconds.
-const COUNTER_BITS: u32 = 16;
+use crate::schema::HybridTime;
 
 /// One line of a decision log.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct LogLine {
-    /// A hybrid time.
-    pub at: u64,
+    /// When it was written, comparable over all boxes.
+    pub at: HybridTime,
     /// The box.
     pub r#box: String,
     /// What it wrote.
@@ -135,7 +133,7 @@
     let prefix = text[..start].split_whitespace().next();
     let seconds = prefix
         .and_then(|word| word.parse().ok())
-        .unwrap_or_else(|| (line.at >> COUNTER_BITS) as f64 / 1_000.0);
+        .unwrap_or_else(|| line.at.millis() as f64 / 1_000.0);
     Some(TimedLine { seconds, line })
 }
 
--- a/tests/explain.rs
+++ b/tests/explain.rs
@@ -6,11 +6,12 @@
 use magpiemoor::dispatch::event::Fault;
 use magpiemoor::dispatch::record::Record;
 use magpiemoor::explain::{Cause, LogLine, read, stories};
+use magpiemoor::schema::HybridTime;
 use rstest::rstest;
 
 fn line(at: u64, box_id: &str, record: Record) -> String {
     let line = LogLine {
-        at: at << 16,
+        at: HybridTime(at << 16),
         r#box: box_id.to_owned(),
         record,
     };
