--- a/src/daemon/metrics.rs
+++ b/src/daemon/metrics.rs
@@ -2,21 +2,21 @@
 
 use std::sync::Mutex;
 
-use prometheus::{
-    Encoder, Histogram, HistogramOpts, IntCounter, IntGauge, Opts, Registry, TextEncoder,
-};
+use prometheus::{Histogram, IntCounter, IntGauge};
 
+use crate::metrics::MetricSet;
 use crate::node::Holds;
 use crate::node::stats::Stats;
 
-/// Upper bounds of the buckets for times, in seconds.
-const TIME_BUCKETS: [f64; 12] = [
+/// Upper bounds of the buckets for steps of the control thread and first replies, in seconds. Chosen, not
+/// measured.
+const STEP_AND_REPLY_BUCKETS: [f64; 12] = [
     0.000_01, 0.000_1, 0.001, 0.005, 0.02, 0.06, 0.15, 0.35, 1.0, 3.0, 10.0, 60.0,
 ];
 
 /// All metrics of a daemon.
 pub struct Metrics {
-    registry: Registry,
+    set: MetricSet,
     node: Mutex<Vec<IntCounter>>,
     held: Vec<IntGauge>,
     bundle_version: IntGauge,
@@ -55,45 +55,21 @@
     /// If two metrics have the same name, which is a mistake in this program.
     #[must_use]
     pub fn new() -> Self {
-        let registry = Registry::new();
-        let counter = |name: &str, help: &str| {
-            let counter =
-                IntCounter::new(format!("magpiemoor_{name}"), help).expect("a valid name");
-            registry
-                .register(Box::new(counter.clone()))
-                .expect("a new name");
-            counter
-        };
-        let gauge = |name: &str, help: &str| {
-            let opts = Opts::new(format!("magpiemoor_{name}"), help);
-            let gauge = IntGauge::with_opts(opts).expect("a valid name");
-            registry
-                .register(Box::new(gauge.clone()))
-                .expect("a new name");
-            gauge
-        };
-        let times = |name: &str, help: &str| {
-            let opts = HistogramOpts::new(format!("magpiemoor_{name}"), help)
-                .buckets(TIME_BUCKETS.to_vec());
-            let histogram = Histogram::with_opts(opts).expect("a valid name");
-            registry
-                .register(Box::new(histogram.clone()))
-                .expect("a new name");
-            histogram
-        };
+        let set = MetricSet::new("magpiemoor");
+        let times = |name: &str, help: &str| set.times(name, help, &STEP_AND_REPLY_BUCKETS);
         let node = Stats::default()
             .list()
             .iter()
-            .map(|(name, help, _)| counter(&format!("{name}_total"), help.trim()))
+            .map(|(name, help, _)| set.counter(&format!("{name}_total"), help.trim()))
             .collect();
         Self {
             node: Mutex::new(node),
             held: HELD
                 .iter()
-                .map(|(name, help)| gauge(&format!("held_{name}"), help))
+                .map(|(name, help)| set.gauge(&format!("held_{name}"), help))
                 .collect(),
-            bundle_version: gauge("bundle_version", "Version of the bundle in force"),
-            epoch: gauge("epoch", "Epoch of the failure domain's roster"),
+            bundle_version: set.gauge("bundle_version", "Version of the bundle in force"),
+            epoch: set.gauge("epoch", "Epoch of the failure domain's roster"),
             step_seconds: times(
                 "step_seconds",
                 "Seconds that the control thread spends on an event",
@@ -102,18 +78,18 @@
                 "first_reply_seconds",
                 "Seconds to the first part of an answer",
             ),
-            peer_bytes_in: counter("peer_bytes_in_total", "Bytes from other boxes"),
-            peer_bytes_out: counter("peer_bytes_out_total", "Bytes to other boxes"),
-            peer_garbled: counter(
+            peer_bytes_in: set.counter("peer_bytes_in_total", "Bytes from other boxes"),
+            peer_bytes_out: set.counter("peer_bytes_out_total", "Bytes to other boxes"),
+            peer_garbled: set.counter(
                 "peer_garbled_total",
                 "Messages of other boxes that could not be read",
             ),
-            platform_bytes_in: counter("platform_bytes_in_total", "Bytes from the platform"),
-            slow_callers: counter(
+            platform_bytes_in: set.counter("platform_bytes_in_total", "Bytes from the platform"),
+            slow_callers: set.counter(
                 "slow_callers_total",
                 "Callers cut off for reading too slowly",
             ),
-            registry,
+            set,
         }
     }
 
@@ -142,12 +118,10 @@
         self.epoch.set(i64::try_from(epoch).unwrap_or(i64::MAX));
     }
 
-    /// The metrics in the text format.
+    /// All of them, to be written out.
     #[must_use]
-    pub fn text(&self) -> String {
-        let mut buf = Vec::new();
-        let _ = TextEncoder::new().encode(&self.registry.gather(), &mut buf);
-        String::from_utf8(buf).unwrap_or_default()
+    pub fn set(&self) -> &MetricSet {
+        &self.set
     }
 }
 
--- a/src/daemon/operators.rs
+++ b/src/daemon/operators.rs
@@ -15,9 +15,6 @@
 use crate::daemon::{Context, Shared};
 use crate::http;
 
-/// The media type of metrics in the text format.
-const METRICS_TYPE: &str = "text/plain; version=0.0.4";
-
 #[derive(Deserialize, StateData, StaticResponseExtender)]
 struct TimelineQuery {
     subject: Option<String>,
@@ -80,11 +77,7 @@
 async fn metrics(state: &mut State) -> Result<Response<Body>, HandlerError> {
     let shared = Context::shared(state);
     ask_status(&shared).await;
-    Ok(http::respond(
-        StatusCode::OK,
-        METRICS_TYPE,
-        http::full(shared.metrics.text()),
-    ))
+    Ok(shared.metrics.set().respond())
 }
 
 async fn status(state: &mut State) -> Result<Response<Body>, HandlerError> {
--- a/src/gateway/metrics.rs
+++ b/src/gateway/metrics.rs
@@ -3,23 +3,22 @@
 //! What was decided is counted from the records of the decision log, so that counts and log can't
 //! part; times are observed where they pass.
 
-use prometheus::{
-    Encoder, Histogram, HistogramOpts, IntCounter, IntCounterVec, IntGauge, Opts, Registry,
-    TextEncoder,
-};
+use prometheus::{Histogram, IntCounter, IntCounterVec, IntGauge};
 
 use crate::dispatch::action::RefusalReason;
 use crate::dispatch::record::Record;
+use crate::metrics::MetricSet;
 
-/// Upper bounds of the buckets for times, in seconds.
-const TIME_BUCKETS: [f64; 12] = [
+/// Upper bounds of the buckets for what callers, the store and losses take, in seconds. Chosen around the
+/// latency objectives and longest pauses of the users' sites, not measured.
+const CALLER_TIME_BUCKETS: [f64; 12] = [
     0.001, 0.005, 0.02, 0.06, 0.1, 0.2, 0.35, 0.7, 1.5, 4.5, 10.0, 30.0,
 ];
 
 /// All metrics of a gateway.
 #[derive(Debug)]
 pub struct GatewayMetrics {
-    registry: Registry,
+    set: MetricSet,
     /// Requests that are served.
     pub active: IntGauge,
     /// Calls to the platform's store.
@@ -47,75 +46,54 @@
 impl GatewayMetrics {
     /// Registers all metrics.
     ///
-    /// # Errors
+    /// # Panics
     ///
-    /// If two metrics have the same name.
-    pub fn new() -> Result<Self, prometheus::Error> {
-        let registry = Registry::new();
-        Ok(Self {
-            active: gauge(&registry, "requests_active", "Requests that are served")?,
-            store_calls: counter(
-                &registry,
-                "store_calls_total",
-                "Calls to the platform's store",
-            )?,
-            probes: counter(&registry, "probes_total", "Probes of endpoints")?,
-            refused: counter(
-                &registry,
-                "refused_total",
-                "Requests that no endpoint answered",
-            )?,
+    /// If two metrics have the same name, which is a mistake in this program.
+    #[must_use]
+    pub fn new() -> Self {
+        let set = MetricSet::new("magpiemoor_gateway");
+        let times = |name: &str, help: &str| set.times(name, help, &CALLER_TIME_BUCKETS);
+        Self {
+            active: set.gauge("requests_active", "Requests that are served"),
+            store_calls: set.counter("store_calls_total", "Calls to the platform's store"),
+            probes: set.counter("probes_total", "Probes of endpoints"),
+            refused: set.counter("refused_total", "Requests that no endpoint answered"),
             first_event_seconds: times(
-                &registry,
                 "first_event_seconds",
                 "Seconds until a stream's first event",
-            )?,
-            pause_seconds: times(
-                &registry,
-                "pause_seconds",
-                "Seconds between two parts of a stream",
-            )?,
-            answer_seconds: times(&registry, "answer_seconds", "Seconds until a whole answer")?,
+            ),
+            pause_seconds: times("pause_seconds", "Seconds between two parts of a stream"),
+            answer_seconds: times("answer_seconds", "Seconds until a whole answer"),
             store_seconds: times(
-                &registry,
                 "store_call_seconds",
                 "Seconds until the platform's store answered, watches left out",
-            )?,
+            ),
             resume_seconds: times(
-                &registry,
                 "resume_seconds",
                 "Seconds between two events of a stream that went on elsewhere",
-            )?,
-            refusal_seconds: times(
-                &registry,
-                "refusal_seconds",
-                "Seconds until a request was given up",
-            )?,
-            refusals: counters(
-                &registry,
+            ),
+            refusal_seconds: times("refusal_seconds", "Seconds until a request was given up"),
+            refusals: set.counters(
                 "refusals_total",
                 "Requests that were given up, by reason",
                 "reason",
-            )?,
-            sendings: counters(
-                &registry,
+            ),
+            sendings: set.counters(
                 "sendings_total",
                 "Sendings to endpoints: the first of a request, from a copy, or anew",
                 "kind",
-            )?,
-            copies: counters(
-                &registry,
+            ),
+            copies: set.counters(
                 "copies_total",
                 "Copies of runs that engines were asked for, by what came of it",
                 "result",
-            )?,
-            suspected: counter(
-                &registry,
+            ),
+            suspected: set.counter(
                 "suspected_total",
                 "Runs that were left since their endpoint was silent",
-            )?,
-            registry,
-        })
+            ),
+            set,
+        }
     }
 
     /// Counts what a record says.
@@ -149,13 +127,16 @@
         }
     }
 
-    /// All metrics in the text format.
+    /// All of them, to be written out.
     #[must_use]
-    pub fn text(&self) -> Vec<u8> {
-        let mut text = Vec::new();
-        // Writing to memory does not fail.
-        let _ = TextEncoder::new().encode(&self.registry.gather(), &mut text);
-        text
+    pub fn set(&self) -> &MetricSet {
+        &self.set
+    }
+}
+
+impl Default for GatewayMetrics {
+    fn default() -> Self {
+        Self::new()
     }
 }
 
@@ -174,37 +155,3 @@
 fn seconds(millis: u64) -> f64 {
     millis as f64 / 1_000.0
 }
-
-fn full_name(name: &str) -> String {
-    format!("magpiemoor_gateway_{name}")
-}
-
-fn gauge(registry: &Registry, name: &str, help: &str) -> Result<IntGauge, prometheus::Error> {
-    let gauge = IntGauge::new(full_name(name), help)?;
-    registry.register(Box::new(gauge.clone()))?;
-    Ok(gauge)
-}
-
-fn counter(registry: &Registry, name: &str, help: &str) -> Result<IntCounter, prometheus::Error> {
-    let counter = IntCounter::new(full_name(name), help)?;
-    registry.register(Box::new(counter.clone()))?;
-    Ok(counter)
-}
-
-fn counters(
-    registry: &Registry,
-    name: &str,
-    help: &str,
-    label: &str,
-) -> Result<IntCounterVec, prometheus::Error> {
-    let counters = IntCounterVec::new(Opts::new(full_name(name), help), &[label])?;
-    registry.register(Box::new(counters.clone()))?;
-    Ok(counters)
-}
-
-fn times(registry: &Registry, name: &str, help: &str) -> Result<Histogram, prometheus::Error> {
-    let opts = HistogramOpts::new(full_name(name), help).buckets(TIME_BUCKETS.to_vec());
-    let times = Histogram::with_opts(opts)?;
-    registry.register(Box::new(times.clone()))?;
-    Ok(times)
-}
--- a/src/gateway/operators.rs
+++ b/src/gateway/operators.rs
@@ -14,8 +14,6 @@
 
 /// The path of the metrics.
 const METRICS_PATH: &str = "/metrics";
-/// The content type of metrics.
-const METRICS_TYPE: &str = "text/plain; version=0.0.4";
 
 /// Answers operators.
 #[derive(Clone)]
@@ -53,8 +51,7 @@
                 };
                 http::respond(status, "text/plain", http::full(""))
             } else if path == METRICS_PATH {
-                let text = self.shared.metrics.text();
-                http::respond(StatusCode::OK, METRICS_TYPE, http::full(text))
+                self.shared.metrics.set().respond()
             } else {
                 http::respond(StatusCode::NOT_FOUND, "text/plain", http::full(""))
             };
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -86,13 +86,12 @@
     ) -> Result<Self, DaemonError> {
         let log = DecisionLog::start(settings.box_id.clone(), std::io::stdout())
             .map_err(DaemonError::Threads)?;
-        let metrics = GatewayMetrics::new().expect("each metric has a name of its own");
         Ok(Self {
             settings: Arc::new(settings),
             dialect,
             clock: Monotonic::start(),
             log: Arc::new(log),
-            metrics: Arc::new(metrics),
+            metrics: Arc::new(GatewayMetrics::new()),
             inputs,
             pool: Arc::new(Pool::default()),
             closing: watch::channel(false).0,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -14,9 +14,9 @@
 pub mod dispatch;
 pub mod explain;
 pub mod gateway;
-
 pub mod http;
 pub mod logs;
+pub mod metrics;
 pub mod node;
 pub mod rendezvous;
 pub mod schema;
--- a/tests/gateway_metrics.rs
+++ b/tests/gateway_metrics.rs
@@ -63,9 +63,9 @@
 )]
 #[case::resumed(resumed(), "resume_seconds_bucket{le=\"0.35\"} 1")]
 fn what_is_decided_is_counted(#[case] record: Record, #[case] line: &str) {
-    let metrics = GatewayMetrics::new().unwrap();
+    let metrics = GatewayMetrics::new();
     metrics.on_record(&record);
-    let text = String::from_utf8(metrics.text()).unwrap();
+    let text = String::from_utf8(metrics.set().text()).unwrap();
     let wanted = format!("magpiemoor_gateway_{line}");
     assert!(text.lines().any(|l| l == wanted), "{wanted} in\n{text}");
 }
@@ -78,7 +78,7 @@
 #[case("store_call_seconds")]
 #[case("refusal_seconds")]
 fn each_time_has_a_histogram_with_a_help_text(#[case] name: &str) {
-    let text = String::from_utf8(GatewayMetrics::new().unwrap().text()).unwrap();
+    let text = String::from_utf8(GatewayMetrics::new().set().text()).unwrap();
     assert!(text.contains(&format!("# TYPE magpiemoor_gateway_{name} histogram")));
     assert!(text.contains(&format!("# HELP magpiemoor_gateway_{name} ")));
 }
