--- a/benches/decisions/gateway.rs
+++ b/benches/decisions/gateway.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 
 use criterion::{BatchSize, BenchmarkId, Criterion, criterion_group};
-use magpiemoor::dispatch::action::Sending;
-use magpiemoor::dispatch::event::{EndpointSpec, Event, Fault, Outcome, RequestNumber};
+use magpiemoor::gateway::dispatch::action::Sending;
+use magpiemoor::gateway::dispatch::event::{EndpointSpec, Event, Fault, Outcome, RequestNumber};
 
 use crate::fixtures::{GENEROUS, STREAMS, World, endpoint, listed, table};
 
--- a/benches/decisions/keyed.rs
+++ b/benches/decisions/keyed.rs
@@ -5,16 +5,16 @@
 use std::time::Duration;
 
 use criterion::{BatchSize, BenchmarkId, Criterion, criterion_group};
-use magpiemoor::bundle::parts::{join, split};
-use magpiemoor::bundle::sign::unsigned;
-use magpiemoor::bundle::{Bundle, SignedBundle};
-use magpiemoor::node::Node;
-use magpiemoor::node::action::Action;
-use magpiemoor::node::config::NodeConfig;
-use magpiemoor::node::endpoints::Endpoints;
-use magpiemoor::node::event::{CallerEvent, EngineEvent, Event, StreamId};
-use magpiemoor::node::prefixes;
-use magpiemoor::node::routing::{Need, choose};
+use magpiemoor::keyed::bundle::parts::{join, split};
+use magpiemoor::keyed::bundle::sign::unsigned;
+use magpiemoor::keyed::bundle::{Bundle, SignedBundle};
+use magpiemoor::keyed::node::Node;
+use magpiemoor::keyed::node::action::Action;
+use magpiemoor::keyed::node::config::NodeConfig;
+use magpiemoor::keyed::node::endpoints::Endpoints;
+use magpiemoor::keyed::node::event::{CallerEvent, EngineEvent, Event, StreamId};
+use magpiemoor::keyed::node::prefixes;
+use magpiemoor::keyed::node::routing::{Need, choose};
 use magpiemoor::schema::{
     BundleSource, BundleVersion, DomainId, EndpointId, EndpointKind, EndpointSpec, EngineSpec,
     Epoch, GenerateRequest, Heartbeat, HybridTime, Incarnation, LoadReport, Member, Micros, Millis,
@@ -241,7 +241,7 @@
     c.bench_function("heartbeat sent", |b| {
         b.iter(|| {
             sequence += 1;
-            let timer = magpiemoor::node::event::Timer::Heartbeat;
+            let timer = magpiemoor::keyed::node::event::Timer::Heartbeat;
             node.handle(Micros(1_000 + sequence), Event::Timer(timer))
         });
     });
--- a/lab/src/caller.rs
+++ b/lab/src/keyed/caller.rs
@@ -7,13 +7,13 @@
 use futures_util::StreamExt;
 use gotham::hyper::{Method, StatusCode};
 use http_body_util::BodyExt;
-use magpiemoor::daemon::callers::problem::Problem;
 use magpiemoor::http::{Answer as HttpAnswer, Call, Client, HttpError};
+use magpiemoor::keyed::daemon::callers::problem::Problem;
 use serde::Deserialize;
 use serde_json::json;
 
-use crate::engine::batch::{answer_length, token};
-use crate::fleet::{MODEL, SERVICE};
+use crate::keyed::engine::batch::{answer_length, token};
+use crate::keyed::fleet::{MODEL, SERVICE};
 
 /// How long a caller waits for the head of an answer.
 const HEAD_LIMIT: Duration = Duration::from_secs(60);
--- a/lab/src/demo.rs
+++ b/lab/src/keyed/demo.rs
@@ -8,11 +8,11 @@
 use magpiemoor::http::Call;
 use serde_json::{Value, json};
 
-use crate::caller::{Ended, Received, Wanted, faults, follow, service_call};
-use crate::engine::Behaviour;
-use crate::engine::batch::answer_length;
-use crate::fleet::{Fleet, MODEL, ONCE_CALL, Size};
-use crate::running::RunningFleet;
+use crate::keyed::caller::{Ended, Received, Wanted, faults, follow, service_call};
+use crate::keyed::engine::Behaviour;
+use crate::keyed::engine::batch::answer_length;
+use crate::keyed::fleet::{Fleet, MODEL, ONCE_CALL, Size};
+use crate::keyed::running::RunningFleet;
 
 /// The failure domains of the demonstration.
 const DOMAINS: [&str; 2] = ["hafnar-hall", "hraun-hall"];
--- a/lab/src/engine.rs
+++ b/lab/src/keyed/engine.rs
@@ -16,13 +16,13 @@
 use futures_util::stream;
 use gotham::helpers::http::Body;
 use gotham::hyper::{Method, Response, StatusCode};
-use magpiemoor::daemon::engines::{CacheEvent, LoadAnswer, OrderRequest, StreamRequest};
 use magpiemoor::http::{full, respond, respond_json, streaming};
+use magpiemoor::keyed::daemon::engines::{CacheEvent, LoadAnswer, OrderRequest, StreamRequest};
 use serde::{Deserialize, Serialize};
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-use crate::serve::{Ask, serve};
+use crate::keyed::serve::{Ask, serve};
 use batch::Batch;
 use reader::Reader;
 
--- a/lab/src/engine/batch.rs
+++ b/lab/src/keyed/engine/batch.rs
@@ -3,8 +3,8 @@
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, Instant};
 
-use magpiemoor::daemon::engines::StreamRequest;
-use magpiemoor::node::prefixes::{BLOCK_BYTES, blocks};
+use magpiemoor::keyed::daemon::engines::StreamRequest;
+use magpiemoor::keyed::node::prefixes::{BLOCK_BYTES, blocks};
 use magpiemoor::schema::{Finish, Token};
 use rand::Rng;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
--- a/lab/src/engine/reader.rs
+++ b/lab/src/keyed/engine/reader.rs
@@ -1,7 +1,7 @@
 //! A connection that reads a stream of an engine, with the faults that show there.
 
 use bytes::Bytes;
-use magpiemoor::daemon::engines::{StreamEnd, StreamTokens};
+use magpiemoor::keyed::daemon::engines::{StreamEnd, StreamTokens};
 use serde::Serialize;
 
 use super::batch::Progress;
--- a/lab/src/fleet.rs
+++ b/lab/src/keyed/fleet.rs
@@ -2,10 +2,10 @@
 
 use std::path::Path;
 
-use magpiemoor::bundle::SignedBundle;
-use magpiemoor::bundle::parts::split;
-use magpiemoor::bundle::sign::SigningKey;
-use magpiemoor::bundle::sign::{new_key, public_hex, sign, unsigned};
+use magpiemoor::keyed::bundle::SignedBundle;
+use magpiemoor::keyed::bundle::parts::split;
+use magpiemoor::keyed::bundle::sign::SigningKey;
+use magpiemoor::keyed::bundle::sign::{new_key, public_hex, sign, unsigned};
 use magpiemoor::schema::{
     BundleSource, BundleVersion, CallSpec, EndpointKind, EndpointSpec, EngineSpec, Millis,
     ModelSpec, OrganisationSpec, Policy, Priority, ServiceCalls, ServiceSpec, Weights,
--- a/lab/src/measure.rs
+++ b/lab/src/keyed/measure.rs
@@ -10,10 +10,10 @@
 use serde_json::{Value, json};
 use tokio::task::JoinSet;
 
-use crate::caller::{Received, Wanted, faults, follow, follow_to_end};
-use crate::engine::Behaviour;
-use crate::fleet::{Fleet, Size};
-use crate::running::RunningFleet;
+use crate::keyed::caller::{Received, Wanted, faults, follow, follow_to_end};
+use crate::keyed::engine::Behaviour;
+use crate::keyed::fleet::{Fleet, Size};
+use crate::keyed::running::RunningFleet;
 
 /// The failure domains of the measured fleet.
 const DOMAINS: [&str; 2] = ["hafnar-hall", "hraun-hall"];
--- a/lab/src/platform.rs
+++ b/lab/src/keyed/platform.rs
@@ -14,7 +14,7 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-use crate::serve::{Ask, serve};
+use crate::keyed::serve::{Ask, serve};
 
 /// Writes a second that the platform takes.
 const WRITES_PER_SECOND: f64 = 100.0;
--- a/lab/src/running.rs
+++ b/lab/src/keyed/running.rs
@@ -7,10 +7,10 @@
 use magpiemoor::cli::observe::{fetch_status, fetch_timeline};
 use magpiemoor::cli::platform::Platform;
 use magpiemoor::http::Client;
-use magpiemoor::timeline::{Entry, merge};
+use magpiemoor::keyed::timeline::{Entry, merge};
 
-use crate::engine::Behaviour;
-use crate::fleet::{EndpointPlan, Fleet, KEY_ID};
+use crate::keyed::engine::Behaviour;
+use crate::keyed::fleet::{EndpointPlan, Fleet, KEY_ID};
 use crate::process::Process;
 
 /// How long the boxes may take to be ready.
@@ -111,7 +111,8 @@
     ///
     /// That they were not ready in time.
     pub async fn wait_ready(&self) -> Result<(), String> {
-        let slices = usize::from(magpiemoor::node::roster::SLICES) * self.fleet.domains.len();
+        let slices =
+            usize::from(magpiemoor::keyed::node::roster::SLICES) * self.fleet.domains.len();
         let began = Instant::now();
         while began.elapsed() < READY_LIMIT {
             let mut ready = 0;
--- a/lab/src/service.rs
+++ b/lab/src/keyed/service.rs
@@ -6,12 +6,12 @@
 
 use gotham::helpers::http::Body;
 use gotham::hyper::{Response, StatusCode};
-use magpiemoor::daemon::engines::LoadAnswer;
 use magpiemoor::http::{full, respond, respond_json};
+use magpiemoor::keyed::daemon::engines::LoadAnswer;
 use serde_json::json;
 use tokio::net::TcpListener;
 
-use crate::serve::{Ask, serve};
+use crate::keyed::serve::{Ask, serve};
 
 /// Time from a call to its answer.
 const ANSWER_TIME: Duration = Duration::from_millis(2);
--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -2,18 +2,11 @@
 //! the users' bench doesn't measure. It is never shipped.
 //!
 //! Unlike the product's processes, the laboratory starts others: demonstrations, soak and
-//! measurements run real boxes as processes of their own.
+//! measurements run real boxes as processes of their own. [`gateway`] stands around the form of an
+//! entry box that the users' machines run, [`keyed`] around the product's own face.
 
-pub mod caller;
-pub mod demo;
-pub mod engine;
-pub mod fleet;
+pub mod gateway;
 pub mod r#gen;
 pub mod journal;
-pub mod measure;
-pub mod outside;
-pub mod platform;
+pub mod keyed;
 pub mod process;
-pub mod running;
-pub mod serve;
-pub mod service;
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -6,10 +6,11 @@
 
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
 use magpiemoor::settings::{Settings, file};
-use magpiemoor_lab::engine::{self, Engine};
-use magpiemoor_lab::platform::Platform;
-use magpiemoor_lab::service::Service;
-use magpiemoor_lab::{demo, r#gen, journal, measure, outside};
+use magpiemoor_lab::keyed::engine::{self, Engine};
+use magpiemoor_lab::keyed::platform::Platform;
+use magpiemoor_lab::keyed::service::Service;
+use magpiemoor_lab::keyed::{demo, measure};
+use magpiemoor_lab::{gateway, r#gen, journal};
 use serde_json::json;
 use tokio::net::TcpListener;
 
@@ -147,10 +148,10 @@
     let seeds = *matches.get_one::<u64>("seeds").unwrap_or(&1);
     let minutes = *matches.get_one::<f64>("minutes").unwrap_or(&1.0);
     let length = Duration::try_from_secs_f64(minutes * 60.0).map_err(|e| e.to_string())?;
-    let launcher = outside::fleet::Launcher::this_program().map_err(|e| e.to_string())?;
+    let launcher = gateway::fleet::Launcher::this_program().map_err(|e| e.to_string())?;
     let mut held = true;
     for seed in first..first + seeds {
-        let findings = block_on(outside::soak::run(launcher.clone(), seed, length))?;
+        let findings = block_on(gateway::soak::run(launcher.clone(), seed, length))?;
         println!(
             "seed {seed}: {} faults, {:?}",
             findings.faults.len(),
@@ -178,7 +179,7 @@
 
 fn run_demo(matches: &ArgMatches) -> Result<bool, String> {
     if matches.get_flag("platform") {
-        return block_on(outside::demo::run());
+        return block_on(gateway::demo::run());
     }
     let as_json = matches.get_flag("json");
     let outcome = block_on(demo::run(as_json))?;
@@ -215,7 +216,7 @@
             texts.join("; ")
         })?;
     magpiemoor::logs::start(settings.log_file.as_deref(), settings.log_level)?;
-    magpiemoor::daemon::run(settings).map_err(|e| e.to_string())?;
+    magpiemoor::keyed::daemon::run(settings).map_err(|e| e.to_string())?;
     Ok(true)
 }
 
--- a/src/bin/magpiemoord.rs
+++ b/src/bin/magpiemoord.rs
@@ -3,9 +3,10 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
+use magpiemoor::keyed::daemon;
+use magpiemoor::logs;
 use magpiemoor::schema::SettingsFile;
 use magpiemoor::settings::{Settings, SettingsError, args, file, overlay};
-use magpiemoor::{daemon, logs};
 
 fn main() -> ExitCode {
     let matches = args::command().get_matches();
--- a/src/cli/bundle.rs
+++ b/src/cli/bundle.rs
@@ -6,16 +6,16 @@
 use clap::ArgMatches;
 use serde_json::json;
 
-use crate::bundle::check::parse;
-use crate::bundle::parts::{content_hash, join, split};
-use crate::bundle::sign::{new_key, parse_signing_key, public_hex, sign, unsigned};
-use crate::bundle::{BundleError, SignedBundle};
 use crate::cli::observe::{addresses, fetch_status};
 use crate::cli::platform::{Platform, Written};
 use crate::cli::{CliError, Output, block_on};
-use crate::daemon::fetch::{manifest_name, part_name};
 use crate::http::Client;
-use crate::node::action::Expect;
+use crate::keyed::bundle::check::parse;
+use crate::keyed::bundle::parts::{content_hash, join, split};
+use crate::keyed::bundle::sign::{new_key, parse_signing_key, public_hex, sign, unsigned};
+use crate::keyed::bundle::{BundleError, SignedBundle};
+use crate::keyed::daemon::fetch::{manifest_name, part_name};
+use crate::keyed::node::action::Expect;
 use crate::schema::{BundleMark, BundlePointer, KeyId, Manifest};
 
 /// The name of the object that names the accepted bundle.
--- a/src/cli/explain.rs
+++ b/src/cli/explain.rs
@@ -8,7 +8,7 @@
 use serde_json::json;
 
 use crate::cli::{CliError, Output};
-use crate::explain::{Story, read, stories};
+use crate::gateway::explain::{Story, read, stories};
 
 /// Runs the command.
 ///
--- a/src/cli/observe.rs
+++ b/src/cli/observe.rs
@@ -8,9 +8,9 @@
 use serde_json::json;
 
 use crate::cli::{CliError, Output, block_on};
-use crate::daemon::input::Status;
 use crate::http::{Call, Client};
-use crate::timeline::{Entry, merge};
+use crate::keyed::daemon::input::Status;
+use crate::keyed::timeline::{Entry, merge};
 
 /// How long a box may take to answer.
 const ANSWER_LIMIT: Duration = Duration::from_secs(3);
--- a/src/cli/platform.rs
+++ b/src/cli/platform.rs
@@ -5,9 +5,9 @@
 use gotham::hyper::{Method, StatusCode};
 
 use crate::cli::CliError;
-use crate::daemon::platform::{object_path, version_of};
 use crate::http::{Call, Client};
-use crate::node::action::Expect;
+use crate::keyed::daemon::platform::{object_path, version_of};
+use crate::keyed::node::action::Expect;
 
 /// How long one call may take.
 const CALL_LIMIT: Duration = Duration::from_secs(2);
--- a/src/dispatch.rs
+++ b/src/gateway/dispatch.rs
@@ -2,7 +2,7 @@
 //! sockets, clocks or threads.
 //!
 //! [`Dispatcher::handle`] takes an event with the time at which it happened and returns the
-//! actions that follow, like [`crate::node`], which decides for requests that are known by a key.
+//! actions that follow, like [`crate::keyed::node`], which decides for requests that are known by a key.
 //! Here every sending of a caller has an id of its own and reaches one box, so that box alone
 //! answers for it: nothing has to be agreed with other boxes before it runs. A caller whose box
 //! died comes back with the last event that it got, and any box goes on from there.
--- a/src/dispatch/action.rs
+++ b/src/gateway/dispatch/action.rs
@@ -3,9 +3,9 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use crate::dispatch::event::{CopyName, EndpointSpec, RequestNumber, Try};
-use crate::dispatch::peers::FetchKind;
-use crate::dispatch::record::Record;
+use crate::gateway::dispatch::event::{CopyName, EndpointSpec, RequestNumber, Try};
+use crate::gateway::dispatch::peers::FetchKind;
+use crate::gateway::dispatch::record::Record;
 use crate::schema::{BoxState, EndpointId, OrganisationId, StateRequest, UsageNews};
 
 /// Where the memory of a run lies that another endpoint goes on from.
--- a/src/dispatch/arrivals.rs
+++ b/src/gateway/dispatch/arrivals.rs
@@ -11,7 +11,7 @@
 use super::record::Record;
 use super::request::Request;
 use super::table::{KeyHolder, NoMatch, Route, RoutingTable};
-use crate::dispatch::fleet::Endpoint;
+use crate::gateway::dispatch::fleet::Endpoint;
 use crate::rendezvous;
 use crate::schema::{Micros, ServiceId};
 
--- a/src/dispatch/event.rs
+++ b/src/gateway/dispatch/event.rs
@@ -5,8 +5,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::dispatch::peers::FetchKind;
-use crate::dispatch::table::RoutingTable;
+use crate::gateway::dispatch::peers::FetchKind;
+use crate::gateway::dispatch::table::RoutingTable;
 use crate::schema::{BoxState, DomainId, EndpointId, ServiceId, UsageNews};
 
 /// A request as this box numbers it.
--- a/src/dispatch/fleet.rs
+++ b/src/gateway/dispatch/fleet.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use crate::dispatch::event::{EndpointChange, EndpointSpec};
+use crate::gateway::dispatch::event::{EndpointChange, EndpointSpec};
 use crate::schema::{BoxState, EndpointId, Micros, ServiceId};
 use losses::Losses;
 use usage::PeerUsage;
--- a/src/dispatch/fleet/losses.rs
+++ b/src/gateway/dispatch/fleet/losses.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use super::{Endpoint, FAILURE_SHARE, Fleet};
-use crate::dispatch::event::EndpointSpec;
+use crate::gateway::dispatch::event::EndpointSpec;
 use crate::schema::{DomainId, EndpointId, Micros, ServiceId};
 
 /// How long an endpoint is avoided after its first failure.
--- a/src/dispatch/fleet/usage.rs
+++ b/src/gateway/dispatch/fleet/usage.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use super::{Endpoint, Fleet};
-use crate::dispatch::placement::READ_PER_MS;
+use crate::gateway::dispatch::placement::READ_PER_MS;
 use crate::schema::{BoxId, EndpointId, EndpointUsage, Micros};
 
 /// How long what a peer told of an engine counts: about as long as a stream takes.
--- a/src/dispatch/placement.rs
+++ b/src/gateway/dispatch/placement.rs
@@ -6,9 +6,9 @@
 
 use std::time::Duration;
 
-use crate::dispatch::event::Tokens;
-use crate::dispatch::fleet::{Endpoint, Fleet};
-use crate::dispatch::table::EngineSpec;
+use crate::gateway::dispatch::event::Tokens;
+use crate::gateway::dispatch::fleet::{Endpoint, Fleet};
+use crate::gateway::dispatch::table::EngineSpec;
 use crate::rendezvous;
 use crate::schema::{DomainId, EndpointId, Micros, ServiceId};
 
--- a/src/dispatch/request.rs
+++ b/src/gateway/dispatch/request.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use super::copies::{Copy, ExtraCopy};
-use crate::dispatch::event::{Arrival, Fault, NotRunCause, Outcome, Try};
-use crate::dispatch::table::{EngineSpec, KeyHolder, Route};
+use crate::gateway::dispatch::event::{Arrival, Fault, NotRunCause, Outcome, Try};
+use crate::gateway::dispatch::table::{EngineSpec, KeyHolder, Route};
 use crate::schema::{DomainId, EndpointId, Micros, ServiceId};
 
 /// The sending that runs.
--- a/src/explain.rs
+++ b/src/gateway/explain.rs
@@ -9,9 +9,9 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::dispatch::action::RefusalReason;
-use crate::dispatch::event::Fault;
-use crate::dispatch::record::Record;
+use crate::gateway::dispatch::action::RefusalReason;
+use crate::gateway::dispatch::event::Fault;
+use crate::gateway::dispatch::record::Record;
 use crate::schema::HybridTime;
 
 /// One line of a decision log.
--- /dev/null
+++ b/src/gateway/shell.rs
@@ -0,0 +1,156 @@
+//! The shell around [`crate::gateway::dispatch`]: sockets, threads and signals of a gateway box.
+//!
+//! One control thread owns the dispatcher and is the only one that touches it; traffic threads
+//! move bytes. What differs between the outsides that a gateway can stand between is behind
+//! [`dialect::Dialect`].
+
+pub mod control;
+pub mod copies;
+pub mod decisions;
+pub mod dialect;
+pub mod events;
+pub mod exchange;
+pub mod front;
+pub mod headers;
+pub mod input;
+mod known;
+pub mod metrics;
+pub mod operators;
+pub mod peers;
+pub mod pool;
+pub mod probes;
+pub mod sending;
+pub mod shared;
+pub mod stop;
+pub mod store;
+pub mod watcher;
+
+use std::path::PathBuf;
+use std::sync::Arc;
+
+use tokio::net::{TcpListener, UdpSocket};
+use tokio::sync::mpsc;
+
+use crate::clock;
+use crate::gateway::dispatch::record::Record;
+use crate::gateway::dispatch::{DispatchConfig, Dispatcher};
+use crate::gateway::settings::GatewaySettings;
+use crate::http::ServeOptions;
+use crate::keyed::daemon::{DaemonError, listen};
+use crate::schema::Incarnation;
+use control::Control;
+use dialect::{Dialect, Source};
+
+pub use shared::GatewayShared;
+
+/// How many inputs may wait for the control thread before senders wait.
+const INPUT_CAPACITY: usize = 16_384;
+/// How long a connection may rest before there is a configuration.
+const UNCONFIGURED_IDLE: std::time::Duration = std::time::Duration::from_secs(15);
+
+struct Listeners {
+    callers: TcpListener,
+    health: TcpListener,
+    metrics: TcpListener,
+    peers: TcpListener,
+    gossip: UdpSocket,
+}
+
+impl Listeners {
+    async fn bind(settings: &GatewaySettings) -> Result<Self, DaemonError> {
+        let peers = settings.peers_address;
+        Ok(Self {
+            callers: listen("callers", settings.callers).await?,
+            health: listen("health", settings.health).await?,
+            metrics: listen("metrics", settings.metrics).await?,
+            peers: listen("peers_address", peers).await?,
+            gossip: UdpSocket::bind(peers)
+                .await
+                .map_err(|error| DaemonError::Listen {
+                    setting: "peers_address",
+                    address: peers,
+                    error,
+                })?,
+        })
+    }
+}
+
+/// Runs a gateway until it has stopped. The settings file is read again when it changes.
+///
+/// # Errors
+///
+/// Says which address can't be listened on, or that threads can't be started.
+pub fn run(
+    settings: GatewaySettings,
+    file: Option<PathBuf>,
+    dialect: Arc<dyn Dialect>,
+) -> Result<(), DaemonError> {
+    let runtime = tokio::runtime::Builder::new_multi_thread()
+        .worker_threads(settings.traffic_threads)
+        .thread_name("traffic")
+        .enable_all()
+        .build()
+        .map_err(DaemonError::Threads)?;
+    let control_runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_time()
+        .build()
+        .map_err(DaemonError::Threads)?;
+    let listeners = runtime.block_on(Listeners::bind(&settings))?;
+    let (inputs, received) = mpsc::channel(INPUT_CAPACITY);
+    let shared = GatewayShared::start(settings, dialect, inputs)?;
+    let gossip = Arc::new(listeners.gossip);
+    let dispatcher = new_dispatcher(&shared);
+    shared.log.write(&Record::Process {
+        state: "started".into(),
+        detail: format!("callers on {}", shared.settings.callers),
+    });
+    runtime.spawn(peers::hear(Arc::clone(&gossip), shared.clone()));
+    runtime.spawn(peers::accept(listeners.peers, shared.clone()));
+    runtime.spawn(serve_callers(listeners.callers, shared.clone()));
+    let operators = operators::Operators::new(shared.clone());
+    runtime.spawn(crate::http::serve(listeners.health, operators.clone()));
+    runtime.spawn(crate::http::serve(listeners.metrics, operators));
+    runtime.spawn(store::follow(Source::Table, shared.clone()));
+    runtime.spawn(store::follow(Source::Endpoints, shared.clone()));
+    runtime.spawn(pool::sweep_resting(Arc::clone(&shared.pool)));
+    runtime.spawn(stop::stop_on_signal(shared.clone()));
+    runtime.spawn(stop::reload_on_change(file, shared.clone()));
+    let control = Control::new(dispatcher, shared, runtime.handle().clone(), gossip);
+    let thread = std::thread::Builder::new()
+        .name("control".to_owned())
+        .spawn(move || control_runtime.block_on(control.run(received)))
+        .map_err(DaemonError::Threads)?;
+    if thread.join().is_err() {
+        log::error!("the control thread ended by a fault; the process ends");
+    }
+    runtime.shutdown_timeout(std::time::Duration::from_millis(100));
+    Ok(())
+}
+
+fn new_dispatcher(shared: &GatewayShared) -> Dispatcher {
+    let settings = &shared.settings;
+    let cfg = DispatchConfig {
+        me: settings.box_id.clone(),
+        incarnation: Incarnation(clock::incarnation()),
+        domain: settings.domain.clone(),
+        address: settings.peers_address,
+        seeds: settings.seeds.clone(),
+        gossip: settings.gossip,
+        fleet_boxes: settings.fleet_boxes,
+        retries: settings.retries,
+    };
+    Dispatcher::new(cfg, rand::random(), shared.clock.now())
+}
+
+async fn serve_callers(listener: TcpListener, shared: GatewayShared) {
+    let front = front::Front::new(shared.clone());
+    let options = move || {
+        let limits = shared.limits();
+        ServeOptions {
+            head_timeout: limits.map_or(UNCONFIGURED_IDLE, |l| l.idle),
+            head_bytes: limits.map_or(0, |l| l.head_bytes),
+            closing: shared.closing.subscribe(),
+        }
+    };
+    crate::http::serve_with(listener, front, options).await;
+}
--- a/src/gateway/control.rs
+++ b/src/gateway/shell/control.rs
@@ -7,12 +7,12 @@
 use tokio::runtime::Handle;
 use tokio::sync::mpsc;
 
-use crate::dispatch::Dispatcher;
-use crate::dispatch::action::{Action, Command};
-use crate::dispatch::event::{Event, RequestNumber};
-use crate::gateway::copies::Wanted;
-use crate::gateway::input::Input;
-use crate::gateway::{GatewayShared, copies, peers, probes};
+use crate::gateway::dispatch::Dispatcher;
+use crate::gateway::dispatch::action::{Action, Command};
+use crate::gateway::dispatch::event::{Event, RequestNumber};
+use crate::gateway::shell::copies::Wanted;
+use crate::gateway::shell::input::Input;
+use crate::gateway::shell::{GatewayShared, copies, peers, probes};
 
 /// The control thread's own state.
 pub struct Control {
--- a/src/gateway/copies.rs
+++ b/src/gateway/shell/copies.rs
@@ -8,10 +8,10 @@
 use gotham::hyper::{Method, Request, StatusCode};
 use http_body_util::Full;
 
-use crate::dispatch::event::{CopyName, Event, RequestNumber, Try};
-use crate::gateway::GatewayShared;
-use crate::gateway::input::Input;
-use crate::gateway::pool::Pool;
+use crate::gateway::dispatch::event::{CopyName, Event, RequestNumber, Try};
+use crate::gateway::shell::GatewayShared;
+use crate::gateway::shell::input::Input;
+use crate::gateway::shell::pool::Pool;
 use crate::schema::EndpointId;
 
 /// How long a connection may have rested.
--- a/src/gateway/decisions.rs
+++ b/src/gateway/shell/decisions.rs
@@ -10,7 +10,7 @@
 use serde::Serialize;
 
 use crate::clock::Hybrid;
-use crate::dispatch::record::Record;
+use crate::gateway::dispatch::record::Record;
 use crate::schema::BoxId;
 
 /// How many lines may wait for the writer.
--- a/src/gateway/dialect.rs
+++ b/src/gateway/shell/dialect.rs
@@ -8,9 +8,9 @@
 use gotham::hyper::http::{request, response};
 use gotham::hyper::{HeaderMap, StatusCode};
 
-use crate::dispatch::action::{Refusal, Sending};
-use crate::dispatch::event::{Arrival, CopyName, EndpointSpec, NotRunCause};
-use crate::dispatch::table::{RoutingTable, TableError};
+use crate::gateway::dispatch::action::{Refusal, Sending};
+use crate::gateway::dispatch::event::{Arrival, CopyName, EndpointSpec, NotRunCause};
+use crate::gateway::dispatch::table::{RoutingTable, TableError};
 use crate::schema::EndpointId;
 
 /// Why a request can't be read.
--- a/src/gateway/exchange.rs
+++ b/src/gateway/shell/exchange.rs
@@ -14,14 +14,14 @@
 use http_body_util::{BodyExt, StreamBody};
 use tokio::sync::{mpsc, oneshot};
 
-use crate::dispatch::action::{Command, Refusal, Sending};
-use crate::dispatch::event::{Event, Fault, Outcome, RequestNumber, Try};
-use crate::gateway::dialect::AnswerKind;
-use crate::gateway::events::EventCutter;
-use crate::gateway::input::Input;
-use crate::gateway::pool::Connection;
-use crate::gateway::sending::{CallerRequest, Held, hold, open};
-use crate::gateway::{GatewayShared, headers};
+use crate::gateway::dispatch::action::{Command, Refusal, Sending};
+use crate::gateway::dispatch::event::{Event, Fault, Outcome, RequestNumber, Try};
+use crate::gateway::shell::dialect::AnswerKind;
+use crate::gateway::shell::events::EventCutter;
+use crate::gateway::shell::input::Input;
+use crate::gateway::shell::pool::Connection;
+use crate::gateway::shell::sending::{CallerRequest, Held, hold, open};
+use crate::gateway::shell::{GatewayShared, headers};
 use crate::http;
 
 /// How many events wait for a slow caller before the engine is read no further.
--- a/src/gateway/front.rs
+++ b/src/gateway/shell/front.rs
@@ -13,11 +13,11 @@
 use gotham::state::{FromState, State};
 use tokio::sync::{mpsc, oneshot};
 
-use crate::dispatch::event::RequestNumber;
-use crate::gateway::GatewayShared;
-use crate::gateway::exchange::Exchange;
-use crate::gateway::input::Input;
-use crate::gateway::sending::CallerRequest;
+use crate::gateway::dispatch::event::RequestNumber;
+use crate::gateway::shell::GatewayShared;
+use crate::gateway::shell::exchange::Exchange;
+use crate::gateway::shell::input::Input;
+use crate::gateway::shell::sending::CallerRequest;
 use crate::http::{self, BodyError};
 
 /// The greatest body that is read before there is a configuration, in bytes.
--- a/src/gateway/input.rs
+++ b/src/gateway/shell/input.rs
@@ -2,8 +2,8 @@
 
 use tokio::sync::mpsc;
 
-use crate::dispatch::action::Command;
-use crate::dispatch::event::{Arrival, Event, RequestNumber};
+use crate::gateway::dispatch::action::Command;
+use crate::gateway::dispatch::event::{Arrival, Event, RequestNumber};
 
 /// Something for the control thread.
 pub enum Input {
--- a/src/gateway/known.rs
+++ b/src/gateway/shell/known.rs
@@ -2,8 +2,8 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use crate::dispatch::table::TableVersion;
-use crate::gateway::dialect::Entry;
+use crate::gateway::dispatch::table::TableVersion;
+use crate::gateway::shell::dialect::Entry;
 use crate::schema::StateEntry;
 
 /// What was read from the platform, as it was read.
--- a/src/gateway/operators.rs
+++ b/src/gateway/shell/operators.rs
@@ -9,7 +9,7 @@
 use gotham::hyper::{StatusCode, Uri};
 use gotham::state::{FromState, State};
 
-use crate::gateway::GatewayShared;
+use crate::gateway::shell::GatewayShared;
 use crate::http;
 
 /// The path of the metrics.
--- a/src/gateway/peers.rs
+++ b/src/gateway/shell/peers.rs
@@ -13,12 +13,12 @@
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
 use tokio::sync::Semaphore;
 
-use crate::dispatch::event::Event;
-use crate::dispatch::peers::FetchKind;
-use crate::gateway::dialect::{Entry, Source};
-use crate::gateway::input::Input;
-use crate::gateway::watcher::News;
-use crate::gateway::{GatewayShared, store};
+use crate::gateway::dispatch::event::Event;
+use crate::gateway::dispatch::peers::FetchKind;
+use crate::gateway::shell::dialect::{Entry, Source};
+use crate::gateway::shell::input::Input;
+use crate::gateway::shell::watcher::News;
+use crate::gateway::shell::{GatewayShared, store};
 use crate::schema::{BoxState, StateReply, StateRequest, UsageNews};
 
 /// The first byte of a datagram with a [`BoxState`].
--- a/src/gateway/probes.rs
+++ b/src/gateway/shell/probes.rs
@@ -7,10 +7,10 @@
 use gotham::hyper::StatusCode;
 use tokio::task::JoinSet;
 
-use crate::dispatch::event::{EndpointSpec, Event, RequestNumber};
-use crate::gateway::GatewayShared;
-use crate::gateway::input::Input;
-use crate::gateway::pool::{Connection, Pool};
+use crate::gateway::dispatch::event::{EndpointSpec, Event, RequestNumber};
+use crate::gateway::shell::GatewayShared;
+use crate::gateway::shell::input::Input;
+use crate::gateway::shell::pool::{Connection, Pool};
 use crate::schema::EndpointId;
 
 /// How long a connection may have rested for a probe.
--- a/src/gateway/sending.rs
+++ b/src/gateway/shell/sending.rs
@@ -9,10 +9,10 @@
 use gotham::hyper::{HeaderMap, Request, Response, StatusCode};
 use http_body_util::{BodyExt, Full, Limited};
 
-use crate::dispatch::action::Sending;
-use crate::dispatch::event::{Fault, Outcome};
-use crate::gateway::pool::{Connection, Pool, SendError};
-use crate::gateway::{GatewayShared, headers};
+use crate::gateway::dispatch::action::Sending;
+use crate::gateway::dispatch::event::{Fault, Outcome};
+use crate::gateway::shell::pool::{Connection, Pool, SendError};
+use crate::gateway::shell::{GatewayShared, headers};
 
 /// The greatest answer that is held whole, in bytes.
 const MOST_HELD: usize = 8 << 20;
--- a/src/gateway/shared.rs
+++ b/src/gateway/shell/shared.rs
@@ -8,17 +8,17 @@
 use tokio::sync::{mpsc, watch};
 
 use crate::clock::Monotonic;
-use crate::daemon::DaemonError;
-use crate::dispatch::action::{Refusal, RefusalReason};
-use crate::dispatch::table::{CallerLimits, RoutingTable, TableVersion};
-use crate::gateway::decisions::DecisionLog;
-use crate::gateway::dialect::{Dialect, Entry};
-use crate::gateway::headers;
-use crate::gateway::input::Input;
-use crate::gateway::known::Known;
-use crate::gateway::metrics::GatewayMetrics;
-use crate::gateway::pool::Pool;
+use crate::gateway::dispatch::action::{Refusal, RefusalReason};
+use crate::gateway::dispatch::table::{CallerLimits, RoutingTable, TableVersion};
 use crate::gateway::settings::GatewaySettings;
+use crate::gateway::shell::decisions::DecisionLog;
+use crate::gateway::shell::dialect::{Dialect, Entry};
+use crate::gateway::shell::headers;
+use crate::gateway::shell::input::Input;
+use crate::gateway::shell::known::Known;
+use crate::gateway::shell::metrics::GatewayMetrics;
+use crate::gateway::shell::pool::Pool;
+use crate::keyed::daemon::DaemonError;
 use crate::schema::{StateReply, StateRequest};
 
 /// When to come back to a box that holds too much.
--- a/src/gateway/stop.rs
+++ b/src/gateway/shell/stop.rs
@@ -5,10 +5,11 @@
 
 use tokio::signal::unix::{SignalKind, signal};
 
-use crate::dispatch::event::Event;
-use crate::dispatch::record::Record;
-use crate::gateway::input::Input;
-use crate::gateway::{GatewayShared, settings};
+use crate::gateway::dispatch::event::Event;
+use crate::gateway::dispatch::record::Record;
+use crate::gateway::settings;
+use crate::gateway::shell::GatewayShared;
+use crate::gateway::shell::input::Input;
 
 /// How long a box that is stopping still takes new connections: until the balancer has noticed.
 const NOTICED_AFTER: Duration = Duration::from_secs(3);
--- a/src/gateway/store.rs
+++ b/src/gateway/shell/store.rs
@@ -7,13 +7,13 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-use crate::dispatch::event::{EndpointChange, Event};
-use crate::dispatch::record::Record;
-use crate::gateway::GatewayShared;
-use crate::gateway::dialect::{Entry, Source};
-use crate::gateway::input::Input;
-use crate::gateway::pool::{Connection, Pool};
-use crate::gateway::watcher::{News, Step, StepAnswer, Watcher};
+use crate::gateway::dispatch::event::{EndpointChange, Event};
+use crate::gateway::dispatch::record::Record;
+use crate::gateway::shell::GatewayShared;
+use crate::gateway::shell::dialect::{Entry, Source};
+use crate::gateway::shell::input::Input;
+use crate::gateway::shell::pool::{Connection, Pool};
+use crate::gateway::shell::watcher::{News, Step, StepAnswer, Watcher};
 
 /// How long configurations gather.
 const GATHER_TABLES: Duration = Duration::from_millis(100);
--- a/src/gateway/watcher.rs
+++ b/src/gateway/shell/watcher.rs
@@ -7,7 +7,7 @@
 
 use rand::Rng;
 
-use crate::gateway::dialect::{Entry, Page};
+use crate::gateway::shell::dialect::{Entry, Page};
 
 /// The pause after the first failure.
 const FIRST_PAUSE: Duration = Duration::from_millis(50);
--- a/src/bundle/check.rs
+++ b/src/keyed/bundle/check.rs
@@ -5,7 +5,7 @@
 use std::hash::Hash;
 use std::net::SocketAddr;
 
-use crate::bundle::BundleError;
+use crate::keyed::bundle::BundleError;
 use crate::schema::{BundleSource, EndpointKind, EndpointSpec, OrganisationSpec};
 
 /// The greatest share that an organisation may have.
--- a/src/bundle/parts.rs
+++ b/src/keyed/bundle/parts.rs
@@ -9,8 +9,8 @@
 use serde::de::DeserializeOwned;
 use sha2::{Digest, Sha256};
 
-use crate::bundle::check::check;
-use crate::bundle::{Bundle, BundleError, SignedBundle};
+use crate::keyed::bundle::check::check;
+use crate::keyed::bundle::{Bundle, BundleError, SignedBundle};
 use crate::rendezvous;
 use crate::schema::{BundleSource, Manifest, PartHash, PartKind, PartRef, Policy};
 
--- a/src/bundle/sign.rs
+++ b/src/keyed/bundle/sign.rs
@@ -6,8 +6,8 @@
 
 pub use ed25519_dalek::SigningKey;
 
-use crate::bundle::parts::Split;
-use crate::bundle::{BundleError, SignedBundle};
+use crate::keyed::bundle::parts::Split;
+use crate::keyed::bundle::{BundleError, SignedBundle};
 use crate::schema::{KeyId, Signature, SignedManifest};
 
 /// The keys that bundles may be signed with, and how many of them it takes.
--- a/src/daemon.rs
+++ b/src/keyed/daemon.rs
@@ -1,4 +1,4 @@
-//! The daemon of an entry box: a shell around [`crate::node`] that moves bytes.
+//! The daemon of an entry box: a shell around [`crate::keyed::node`] that moves bytes.
 //!
 //! One control thread owns the node and is the only one that touches it. Traffic threads read and
 //! write sockets; they speak to the control thread by a channel, and it tells them what to do by
@@ -23,14 +23,14 @@
 use tokio::net::{TcpListener, UdpSocket};
 use tokio::sync::mpsc;
 
-use crate::bundle::Bundle;
 use crate::clock::{self, Monotonic};
 use crate::http::Client;
-use crate::node::Node;
-use crate::node::config::NodeConfig;
+use crate::keyed::bundle::Bundle;
+use crate::keyed::node::Node;
+use crate::keyed::node::config::NodeConfig;
+use crate::keyed::timeline::Timeline;
 use crate::schema::Incarnation;
 use crate::settings::Settings;
-use crate::timeline::Timeline;
 use control::Control;
 use input::Input;
 use metrics::Metrics;
@@ -250,6 +250,6 @@
     }
     log::info!("asked to stop; handing over");
     shared
-        .tell(Input::Event(crate::node::event::Event::Stop))
+        .tell(Input::Event(crate::keyed::node::event::Event::Stop))
         .await;
 }
--- a/src/daemon/callers.rs
+++ b/src/keyed/daemon/callers.rs
@@ -20,11 +20,11 @@
 use serde_json::json;
 use tokio::sync::mpsc;
 
-use crate::daemon::input::Input;
-use crate::daemon::{Context, Shared};
 use crate::http::{self, BodyError};
-use crate::node::action::Reply;
-use crate::node::event::CallerEvent;
+use crate::keyed::daemon::input::Input;
+use crate::keyed::daemon::{Context, Shared};
+use crate::keyed::node::action::Reply;
+use crate::keyed::node::event::CallerEvent;
 use crate::schema::{DeferredResult, DeferredStatus, RequestKey};
 use problem::Problem;
 use stream::{Caller, CallerGuard};
--- a/src/daemon/callers/parse.rs
+++ b/src/keyed/daemon/callers/parse.rs
@@ -3,9 +3,9 @@
 use gotham::hyper::{HeaderMap, StatusCode};
 use serde::Deserialize;
 
-use crate::bundle::Bundle;
-use crate::daemon::callers::problem::Problem;
-use crate::digest;
+use crate::keyed::bundle::Bundle;
+use crate::keyed::daemon::callers::problem::Problem;
+use crate::keyed::digest;
 use crate::schema::{
     AnswerDigest, CallName, CallRequest, Cursor, DomainId, GenerateRequest, Generation, Millis,
     OrganisationId, Priority, Request, RequestKey, RequestKind, ServiceId, TokenOffset,
--- a/src/daemon/callers/stream.rs
+++ b/src/keyed/daemon/callers/stream.rs
@@ -9,13 +9,13 @@
 use serde_json::json;
 use tokio::sync::mpsc;
 
-use crate::daemon::Shared;
-use crate::daemon::callers::parse::event_id;
-use crate::daemon::callers::problem::Problem;
-use crate::daemon::input::Input;
 use crate::http;
-use crate::node::action::Reply;
-use crate::node::event::{CallerEvent, Event};
+use crate::keyed::daemon::Shared;
+use crate::keyed::daemon::callers::parse::event_id;
+use crate::keyed::daemon::callers::problem::Problem;
+use crate::keyed::daemon::input::Input;
+use crate::keyed::node::action::Reply;
+use crate::keyed::node::event::{CallerEvent, Event};
 use crate::schema::{Finish, Ran, RequestKey, Token};
 
 /// The media type of server-sent events.
--- a/src/daemon/control.rs
+++ b/src/keyed/daemon/control.rs
@@ -8,13 +8,13 @@
 use tokio::runtime::Handle;
 use tokio::sync::mpsc;
 
-use crate::daemon::fetch::PartCache;
-use crate::daemon::input::{Input, Status};
-use crate::daemon::peers::Links;
-use crate::daemon::{Shared, engines, fetch, platform, services, timers};
-use crate::node::Node;
-use crate::node::action::{Action, Reply};
-use crate::node::event::{CallerEvent, Event};
+use crate::keyed::daemon::fetch::PartCache;
+use crate::keyed::daemon::input::{Input, Status};
+use crate::keyed::daemon::peers::Links;
+use crate::keyed::daemon::{Shared, engines, fetch, platform, services, timers};
+use crate::keyed::node::Node;
+use crate::keyed::node::action::{Action, Reply};
+use crate::keyed::node::event::{CallerEvent, Event};
 use crate::schema::Member;
 use crate::settings::Settings;
 
--- a/src/daemon/engines.rs
+++ b/src/keyed/daemon/engines.rs
@@ -8,11 +8,11 @@
 use http_body_util::BodyExt;
 use serde::{Deserialize, Serialize};
 
-use crate::daemon::Shared;
-use crate::daemon::input::Input;
 use crate::http::{Call, HttpError};
-use crate::node::action::{EngineStart, Order};
-use crate::node::event::{CacheChange, EngineEvent, EngineFailure, Event, Load};
+use crate::keyed::daemon::Shared;
+use crate::keyed::daemon::input::Input;
+use crate::keyed::node::action::{EngineStart, Order};
+use crate::keyed::node::event::{CacheChange, EngineEvent, EngineFailure, Event, Load};
 use crate::schema::{EndpointId, Finish, LoadReport, Token};
 
 /// How long an engine may take to take a stream.
--- a/src/daemon/fetch.rs
+++ b/src/keyed/daemon/fetch.rs
@@ -6,14 +6,14 @@
 
 use gotham::hyper::{Method, StatusCode};
 
-use crate::bundle::parts::{content_hash, join};
-use crate::bundle::sign::verify;
-use crate::bundle::{Bundle, SignedBundle};
-use crate::daemon::Shared;
-use crate::daemon::input::Input;
-use crate::daemon::platform::object_path;
 use crate::http::Call;
-use crate::node::event::Event;
+use crate::keyed::bundle::parts::{content_hash, join};
+use crate::keyed::bundle::sign::verify;
+use crate::keyed::bundle::{Bundle, SignedBundle};
+use crate::keyed::daemon::Shared;
+use crate::keyed::daemon::input::Input;
+use crate::keyed::daemon::platform::object_path;
+use crate::keyed::node::event::Event;
 use crate::schema::{BundleMark, Manifest, SignedManifest};
 
 /// How long one part may take.
--- a/src/daemon/input.rs
+++ b/src/keyed/daemon/input.rs
@@ -3,8 +3,8 @@
 
 use tokio::sync::{mpsc, oneshot};
 
-use crate::node::action::Reply;
-use crate::node::event::{CallerEvent, Event};
+use crate::keyed::node::action::Reply;
+use crate::keyed::node::event::{CallerEvent, Event};
 
 /// Something for the control thread.
 pub enum Input {
--- a/src/daemon/metrics.rs
+++ b/src/keyed/daemon/metrics.rs
@@ -4,9 +4,9 @@
 
 use prometheus::{Histogram, IntCounter, IntGauge};
 
+use crate::keyed::node::Holds;
+use crate::keyed::node::stats::Stats;
 use crate::metrics::MetricSet;
-use crate::node::Holds;
-use crate::node::stats::Stats;
 
 /// Upper bounds of the buckets for steps of the control thread and first replies, in seconds. Chosen, not
 /// measured.
--- a/src/daemon/operators.rs
+++ b/src/keyed/daemon/operators.rs
@@ -11,9 +11,9 @@
 use serde::Deserialize;
 use tokio::sync::oneshot;
 
-use crate::daemon::input::{Input, Status};
-use crate::daemon::{Context, Shared};
 use crate::http;
+use crate::keyed::daemon::input::{Input, Status};
+use crate::keyed::daemon::{Context, Shared};
 
 #[derive(Deserialize, StateData, StaticResponseExtender)]
 struct TimelineQuery {
--- a/src/daemon/peers.rs
+++ b/src/keyed/daemon/peers.rs
@@ -15,9 +15,9 @@
 use tokio::runtime::Handle;
 use tokio::sync::mpsc;
 
-use crate::daemon::Shared;
-use crate::daemon::input::Input;
-use crate::node::event::Event;
+use crate::keyed::daemon::Shared;
+use crate::keyed::daemon::input::Input;
+use crate::keyed::node::event::Event;
 use crate::schema::{BoxId, Envelope, Heartbeat, Member, PeerMessage};
 
 /// The version of the protocol between boxes.
--- a/src/daemon/platform.rs
+++ b/src/keyed/daemon/platform.rs
@@ -5,11 +5,11 @@
 
 use gotham::hyper::{Method, StatusCode};
 
-use crate::daemon::Shared;
-use crate::daemon::input::Input;
 use crate::http::{Answer, Call, HttpError};
-use crate::node::action::{Expect, PlatformOp};
-use crate::node::event::{Event, Object, PlatformAnswer};
+use crate::keyed::daemon::Shared;
+use crate::keyed::daemon::input::Input;
+use crate::keyed::node::action::{Expect, PlatformOp};
+use crate::keyed::node::event::{Event, Object, PlatformAnswer};
 use crate::schema::FleetList;
 
 /// How long the platform may take to answer a call.
--- a/src/daemon/services.rs
+++ b/src/keyed/daemon/services.rs
@@ -2,11 +2,11 @@
 
 use gotham::hyper::{Method, StatusCode};
 
-use crate::daemon::Shared;
-use crate::daemon::input::Input;
 use crate::http::{Call, HttpError};
-use crate::node::action::ServiceCall;
-use crate::node::event::{Event, NotSent, ServiceOutcome};
+use crate::keyed::daemon::Shared;
+use crate::keyed::daemon::input::Input;
+use crate::keyed::node::action::ServiceCall;
+use crate::keyed::node::event::{Event, NotSent, ServiceOutcome};
 use crate::schema::ServiceAnswer;
 
 /// Makes a call and tells the control thread what came of it.
--- a/src/daemon/timers.rs
+++ b/src/keyed/daemon/timers.rs
@@ -8,9 +8,9 @@
 use tokio_util::time::DelayQueue;
 use tokio_util::time::delay_queue::Key;
 
-use crate::daemon::Shared;
-use crate::daemon::input::Input;
-use crate::node::event::{Event, Timer};
+use crate::keyed::daemon::Shared;
+use crate::keyed::daemon::input::Input;
+use crate::keyed::node::event::{Event, Timer};
 
 /// A subscription: what is to be told, and when.
 pub type Subscription = (Timer, Instant);
--- a/src/node.rs
+++ b/src/keyed/node.rs
@@ -171,7 +171,7 @@
 
     /// The bundle in force.
     #[must_use]
-    pub fn bundle(&self) -> Option<std::sync::Arc<crate::bundle::Bundle>> {
+    pub fn bundle(&self) -> Option<std::sync::Arc<crate::keyed::bundle::Bundle>> {
         self.bundles.current()
     }
 
--- a/src/node/action.rs
+++ b/src/keyed/node/action.rs
@@ -2,8 +2,8 @@
 
 use std::sync::Arc;
 
-use crate::bundle::SignedBundle;
-use crate::node::event::{StreamId, Timer};
+use crate::keyed::bundle::SignedBundle;
+use crate::keyed::node::event::{StreamId, Timer};
 use crate::schema::{
     AdapterId, AnswerDigest, Attempt, BundleMark, CallName, DeferredStatus, DomainId, EndpointId,
     Epoch, Finish, Generation, Heartbeat, Kept, Member, Micros, ModelId, PeerMessage, Priority,
--- a/src/node/answers.rs
+++ b/src/keyed/node/answers.rs
@@ -5,8 +5,8 @@
 
 use std::sync::Arc;
 
-use crate::bundle::Bundle;
-use crate::digest;
+use crate::keyed::bundle::Bundle;
+use crate::keyed::digest;
 use crate::rendezvous;
 use crate::schema::{
     AnswerDigest, Attempt, AttemptMark, BoxId, Cursor, EndpointId, Finish, Generation, Member,
--- a/src/node/bundles.rs
+++ b/src/keyed/node/bundles.rs
@@ -8,12 +8,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::bundle::{Bundle, SignedBundle};
-use crate::node::Node;
-use crate::node::action::{Action, PlatformOp};
-use crate::node::config::POINTER_READ;
-use crate::node::event::{PlatformAnswer, Timer};
-use crate::node::platform::Purpose;
+use crate::keyed::bundle::{Bundle, SignedBundle};
+use crate::keyed::node::Node;
+use crate::keyed::node::action::{Action, PlatformOp};
+use crate::keyed::node::config::POINTER_READ;
+use crate::keyed::node::event::{PlatformAnswer, Timer};
+use crate::keyed::node::platform::Purpose;
 use crate::schema::{
     BoxId, BundleFetch, BundleMark, BundlePart, BundlePointer, BundleReply, BundleVersion, Micros,
     PartHash,
@@ -253,7 +253,7 @@
                 .map(|p| (p.hash.to_string(), p.body)),
         );
         let signed = SignedBundle { manifest, parts };
-        let hash = crate::bundle::parts::content_hash(&signed.manifest.manifest);
+        let hash = crate::keyed::bundle::parts::content_hash(&signed.manifest.manifest);
         let mark = BundleMark {
             version: reply.version,
             hash,
--- a/src/node/calls.rs
+++ b/src/keyed/node/calls.rs
@@ -11,16 +11,16 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use crate::bundle::Bundle;
-use crate::node::Node;
-use crate::node::action::{Action, Expect, PlatformOp, ServiceCall};
-use crate::node::admission::{Pool, Waiting};
-use crate::node::config::{INTENT_LIMIT, MAX_HOPS, RETRY_AFTER};
-use crate::node::event::{PlatformAnswer, Timer};
-use crate::node::generate::{key_reused, no_bundle, not_served};
-use crate::node::platform::Purpose;
-use crate::node::roster::slice_of;
-use crate::node::routing::{self, Need};
+use crate::keyed::bundle::Bundle;
+use crate::keyed::node::Node;
+use crate::keyed::node::action::{Action, Expect, PlatformOp, ServiceCall};
+use crate::keyed::node::admission::{Pool, Waiting};
+use crate::keyed::node::config::{INTENT_LIMIT, MAX_HOPS, RETRY_AFTER};
+use crate::keyed::node::event::{PlatformAnswer, Timer};
+use crate::keyed::node::generate::{key_reused, no_bundle, not_served};
+use crate::keyed::node::platform::Purpose;
+use crate::keyed::node::roster::slice_of;
+use crate::keyed::node::routing::{self, Need};
 use crate::schema::{
     Answered, Attempt, BoxId, CallRequest, CallSpec, Detach, EndpointId, Member, Micros, OnceAck,
     OnceCopy, OnceRecord, OnceState, Reason, Refusal, Request, RequestKey, RequestKind, SliceId,
--- a/src/node/calls/outcomes.rs
+++ b/src/keyed/node/calls/outcomes.rs
@@ -1,10 +1,10 @@
 //! How calls end: with an answer, with a retry, or with a refusal that says what is certain.
 
 use super::{Call, MAX_RUNS, Phase, UNKNOWN_DETAIL};
-use crate::node::Node;
-use crate::node::config::RETRY_AFTER;
-use crate::node::event::{NotSent, ServiceOutcome, Timer};
-use crate::node::retries::backoff;
+use crate::keyed::node::Node;
+use crate::keyed::node::config::RETRY_AFTER;
+use crate::keyed::node::event::{NotSent, ServiceOutcome, Timer};
+use crate::keyed::node::retries::backoff;
 use crate::schema::{
     Answered, Attempt, EndpointId, Member, OnceState, Reason, Refusal, Refused, RequestKey,
     ServiceAnswer,
@@ -12,7 +12,7 @@
 
 impl Node {
     /// A call of a plain service has ended.
-    pub(in crate::node) fn on_service(
+    pub(in crate::keyed::node) fn on_service(
         &mut self,
         key: &RequestKey,
         attempt: Attempt,
@@ -111,7 +111,7 @@
     }
 
     /// The backoff of a call is over.
-    pub(in crate::node) fn retry_call(&mut self, key: &RequestKey) {
+    pub(in crate::keyed::node) fn retry_call(&mut self, key: &RequestKey) {
         let waits = self
             .calls
             .table
@@ -151,7 +151,7 @@
     }
 
     /// Refuses a call that did not run, and forgets it.
-    pub(in crate::node) fn refuse_call(&mut self, key: &RequestKey, refusal: &Refusal) {
+    pub(in crate::keyed::node) fn refuse_call(&mut self, key: &RequestKey, refusal: &Refusal) {
         let Some(call) = self.calls.remove(key) else {
             return;
         };
--- a/src/node/calls/records.rs
+++ b/src/keyed/node/calls/records.rs
@@ -1,11 +1,11 @@
 //! Records of calls: what is copied to whoever has to know it, and how long it is kept.
 
 use super::{Call, Phase};
-use crate::node::Node;
-use crate::node::action::PlatformOp;
-use crate::node::admission::Pool;
-use crate::node::platform::Purpose;
-use crate::node::roster::slice_of;
+use crate::keyed::node::Node;
+use crate::keyed::node::action::PlatformOp;
+use crate::keyed::node::admission::Pool;
+use crate::keyed::node::platform::Purpose;
+use crate::keyed::node::roster::slice_of;
 use crate::schema::{
     Attempt, BoxId, OnceAck, OnceCopy, OnceRecord, OnceState, RequestKey, SliceId,
 };
@@ -42,7 +42,7 @@
     }
 
     /// Refuses the calls of a slice that have not been sent, as the slice is let go.
-    pub(in crate::node) fn refuse_queued_calls(&mut self, slice: SliceId) {
+    pub(in crate::keyed::node) fn refuse_queued_calls(&mut self, slice: SliceId) {
         let waiting: Vec<(RequestKey, Pool, Phase)> = self
             .calls
             .table
@@ -67,7 +67,7 @@
     }
 
     /// Takes in a record of a call from the home of its slice, or from one who let it go.
-    pub(in crate::node) fn on_once_copy(&mut self, from: &BoxId, copy: OnceCopy) {
+    pub(in crate::keyed::node) fn on_once_copy(&mut self, from: &BoxId, copy: OnceCopy) {
         let key = copy.record.key.clone();
         let slice = slice_of(&key);
         let answered = matches!(copy.record.state, OnceState::Answered(_));
@@ -127,7 +127,7 @@
     }
 
     /// Forgets records whose callers no longer come back.
-    pub(in crate::node) fn sweep_calls(&mut self) {
+    pub(in crate::keyed::node) fn sweep_calls(&mut self) {
         let horizon = self.bundles.retry_horizon();
         let now = self.now;
         let old: Vec<RequestKey> = self
--- a/src/node/copies.rs
+++ b/src/keyed/node/copies.rs
@@ -1,8 +1,8 @@
 //! Copies of answers: tokens go to another box before they are released, and that box goes on if
 //! the producer is lost.
 
-use crate::node::Node;
-use crate::node::answers::{Answer, CopyState, Role, next_generation};
+use crate::keyed::node::Node;
+use crate::keyed::node::answers::{Answer, CopyState, Role, next_generation};
 use crate::schema::{BoxId, RequestKey, TokenAck, TokenCopy, TokenOffset, TokenRefused};
 
 impl Node {
--- a/src/node/deferred.rs
+++ b/src/keyed/node/deferred.rs
@@ -13,14 +13,14 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::Duration;
 
-use crate::node::Node;
-use crate::node::action::PlatformOp;
-use crate::node::config::{
+use crate::keyed::node::Node;
+use crate::keyed::node::action::PlatformOp;
+use crate::keyed::node::config::{
     BATCH_BYTES, BATCH_ITEMS, BYTES_PER_TOKEN, FLUSH_DELAY, MAX_HOPS, RETRY_AFTER,
 };
-use crate::node::event::Timer;
-use crate::node::platform::Purpose;
-use crate::node::roster::SCRIBE_SLICE;
+use crate::keyed::node::event::Timer;
+use crate::keyed::node::platform::Purpose;
+use crate::keyed::node::roster::SCRIBE_SLICE;
 use crate::schema::{
     BatchId, BoxId, Defer, DeferReply, DeferredResult, DeferredStatus, DomainId, Incarnation, Kept,
     Lookup, LookupReply, Member, Micros, Reason, Refusal, Refused, Request, RequestKey,
--- a/src/node/deferred/batches.rs
+++ b/src/keyed/node/deferred/batches.rs
@@ -1,16 +1,16 @@
 //! Batches of accepted work in the platform: written in groups, read back when an answer was lost.
 
 use super::{Batch, RESULTS_EVERY, WRITE_AGAIN, batch_name, batch_value};
-use crate::node::Node;
-use crate::node::action::{Expect, PlatformOp};
-use crate::node::event::{Object, PlatformAnswer};
-use crate::node::platform::Purpose;
+use crate::keyed::node::Node;
+use crate::keyed::node::action::{Expect, PlatformOp};
+use crate::keyed::node::event::{Object, PlatformAnswer};
+use crate::keyed::node::platform::Purpose;
 use crate::schema::{BatchId, DeferReply, HoldDone, Kept, WorkBatch};
 use std::collections::HashMap;
 
 impl Node {
     /// Writes the requests that have gathered as one batch.
-    pub(in crate::node) fn flush_deferred(&mut self) {
+    pub(in crate::keyed::node) fn flush_deferred(&mut self) {
         if self.deferred.gathering.is_empty() {
             return;
         }
@@ -62,7 +62,11 @@
     }
 
     /// The platform answered to a new batch.
-    pub(in crate::node) fn on_batch_written(&mut self, id: &BatchId, answer: &PlatformAnswer) {
+    pub(in crate::keyed::node) fn on_batch_written(
+        &mut self,
+        id: &BatchId,
+        answer: &PlatformAnswer,
+    ) {
         if let Some(batch) = self.deferred.batches.get_mut(id) {
             batch.writing = false;
         }
@@ -173,7 +177,11 @@
     }
 
     /// The platform answered to a write of results.
-    pub(in crate::node) fn on_results_written(&mut self, id: &BatchId, answer: &PlatformAnswer) {
+    pub(in crate::keyed::node) fn on_results_written(
+        &mut self,
+        id: &BatchId,
+        answer: &PlatformAnswer,
+    ) {
         let Some(batch) = self.deferred.batches.get_mut(id) else {
             return;
         };
@@ -197,7 +205,7 @@
     }
 
     /// The platform said which batches there are.
-    pub(in crate::node) fn on_batches_listed(&mut self, answer: PlatformAnswer) {
+    pub(in crate::keyed::node) fn on_batches_listed(&mut self, answer: PlatformAnswer) {
         let PlatformAnswer::Names(names) = answer else {
             // No list; it is asked for again soon.
             self.deferred.listed = None;
@@ -216,7 +224,7 @@
     }
 
     /// A batch was read.
-    pub(in crate::node) fn on_batch_read(&mut self, id: &BatchId, answer: PlatformAnswer) {
+    pub(in crate::keyed::node) fn on_batch_read(&mut self, id: &BatchId, answer: PlatformAnswer) {
         let PlatformAnswer::Object(Object { version, value, .. }) = answer else {
             return;
         };
--- a/src/node/deferred/holds.rs
+++ b/src/keyed/node/deferred/holds.rs
@@ -1,12 +1,12 @@
 //! Batches that are held by boxes of two failure domains while the platform is out.
 
 use super::{Batch, HOLD_PATIENCE, HeldBatch, WRITE_AGAIN, batch_name, batch_value};
-use crate::node::Node;
-use crate::node::action::{Expect, PlatformOp};
-use crate::node::config::BATCH_ITEMS;
-use crate::node::event::PlatformAnswer;
-use crate::node::platform::Purpose;
-use crate::node::roster::SCRIBE_SLICE;
+use crate::keyed::node::Node;
+use crate::keyed::node::action::{Expect, PlatformOp};
+use crate::keyed::node::config::BATCH_ITEMS;
+use crate::keyed::node::event::PlatformAnswer;
+use crate::keyed::node::platform::Purpose;
+use crate::keyed::node::roster::SCRIBE_SLICE;
 use crate::schema::{BatchId, BoxId, Hold, HoldDone, HoldReply, Kept, Member};
 use std::collections::HashMap;
 
@@ -44,7 +44,7 @@
     }
 
     /// Another failure domain asks this box to hold a batch.
-    pub(in crate::node) fn on_hold(&mut self, from: &BoxId, hold: Hold) {
+    pub(in crate::keyed::node) fn on_hold(&mut self, from: &BoxId, hold: Hold) {
         let full = self.deferred.held.len() * BATCH_ITEMS >= self.cfg.max_requests;
         let Some(member) = self.member(from).filter(|_| !full) else {
             return;
@@ -60,7 +60,7 @@
     }
 
     /// Another failure domain holds a batch.
-    pub(in crate::node) fn on_hold_reply(&mut self, from: &BoxId, reply: &HoldReply) {
+    pub(in crate::keyed::node) fn on_hold_reply(&mut self, from: &BoxId, reply: &HoldReply) {
         let Some(batch) = self.deferred.batches.get_mut(&reply.batch) else {
             return;
         };
@@ -74,12 +74,12 @@
     }
 
     /// A batch that this box holds has reached the platform.
-    pub(in crate::node) fn on_hold_done(&mut self, done: &HoldDone) {
+    pub(in crate::keyed::node) fn on_hold_done(&mut self, done: &HoldDone) {
         self.deferred.held.remove(&done.batch);
     }
 
     /// Whether accepted work or its results are nowhere but in boxes.
-    pub(in crate::node) fn has_unwritten(&self) -> bool {
+    pub(in crate::keyed::node) fn has_unwritten(&self) -> bool {
         let deferred = &self.deferred;
         let unwritten = |b: &Batch| b.version.is_none() || b.dirty || b.writing;
         !deferred.gathering.is_empty()
@@ -88,7 +88,7 @@
     }
 
     /// Has another box hold all work that is nowhere but in boxes, as this one stops.
-    pub(in crate::node) fn hand_over_unwritten(&mut self) {
+    pub(in crate::keyed::node) fn hand_over_unwritten(&mut self) {
         self.flush_deferred();
         let domain = self.cfg.domain.clone();
         let own = self
@@ -148,7 +148,11 @@
     }
 
     /// The platform answered to a batch held for another failure domain.
-    pub(in crate::node) fn on_held_written(&mut self, id: &BatchId, answer: &PlatformAnswer) {
+    pub(in crate::keyed::node) fn on_held_written(
+        &mut self,
+        id: &BatchId,
+        answer: &PlatformAnswer,
+    ) {
         if matches!(
             answer,
             PlatformAnswer::Written(_) | PlatformAnswer::Conflict
--- a/src/node/deferred/running.rs
+++ b/src/keyed/node/deferred/running.rs
@@ -1,9 +1,9 @@
 //! Runs accepted work: the scribe hands it to its homes, and takes in the results.
 
 use super::ASK_AGAIN;
-use crate::node::Node;
-use crate::node::answers::Role;
-use crate::node::config::DEFERRED_RUNNING;
+use crate::keyed::node::Node;
+use crate::keyed::node::answers::Role;
+use crate::keyed::node::config::DEFERRED_RUNNING;
 use crate::schema::{BoxId, DeferredDone, DeferredResult, Refusal, RequestKey, RunDeferred};
 
 impl Node {
@@ -57,7 +57,7 @@
     }
 
     /// Hands work that a lost box was running to other homes.
-    pub(in crate::node) fn redispatch_deferred(&mut self, lost: &BoxId) {
+    pub(in crate::keyed::node) fn redispatch_deferred(&mut self, lost: &BoxId) {
         let keys: Vec<RequestKey> = self
             .deferred
             .running
@@ -71,7 +71,7 @@
     }
 
     /// The scribe hands this box work to run.
-    pub(in crate::node) fn on_run_deferred(&mut self, run: RunDeferred) {
+    pub(in crate::keyed::node) fn on_run_deferred(&mut self, run: RunDeferred) {
         let key = run.request.key.clone();
         let role = self.answers.get(&key).map(|a| a.role.clone());
         match role {
@@ -113,7 +113,7 @@
     }
 
     /// A home has finished work.
-    pub(in crate::node) fn on_deferred_done(&mut self, done: DeferredDone) {
+    pub(in crate::keyed::node) fn on_deferred_done(&mut self, done: DeferredDone) {
         self.deferred.running.remove(&done.key);
         let temporary =
             matches!(&done.result, DeferredResult::Failed(r) if r.retry_after.is_some());
--- a/src/node/endpoints.rs
+++ b/src/keyed/node/endpoints.rs
@@ -6,10 +6,10 @@
 
 use xxhash_rust::xxh3::Xxh3Builder;
 
-use crate::bundle::Bundle;
-use crate::node::gaps::Gaps;
-use crate::node::prefixes::Prefixes;
-use crate::node::suspicion::{LossRate, UNKNOWN_FIRST, UNKNOWN_P99};
+use crate::keyed::bundle::Bundle;
+use crate::keyed::node::gaps::Gaps;
+use crate::keyed::node::prefixes::Prefixes;
+use crate::keyed::node::suspicion::{LossRate, UNKNOWN_FIRST, UNKNOWN_P99};
 use crate::schema::{DomainId, EndpointId, EndpointKind, EndpointSpec, LoadReport, Micros};
 
 /// The quantile that counts as the usual longest time.
--- a/src/node/event.rs
+++ b/src/keyed/node/event.rs
@@ -4,7 +4,7 @@
 use std::str::FromStr;
 use std::sync::Arc;
 
-use crate::bundle::{Bundle, SignedBundle};
+use crate::keyed::bundle::{Bundle, SignedBundle};
 use crate::schema::{
     Attempt, BoxId, BundleVersion, Cursor, DomainId, EndpointId, Finish, FleetList, Generation,
     Heartbeat, Incarnation, LoadReport, Micros, PeerMessage, Request, RequestKey, ServiceAnswer,
--- a/src/node/generate.rs
+++ b/src/keyed/node/generate.rs
@@ -1,9 +1,9 @@
 //! The home of a generation: takes the request, attaches callers, releases tokens.
 
-use crate::node::Node;
-use crate::node::admission::{Pool, Waiting};
-use crate::node::answers::{Answer, CopyState, Role, Subscriber, first_generation};
-use crate::node::config::{FINISHED_KEPT, MAX_HOPS, ORPHAN_KEPT, RETRY_AFTER};
+use crate::keyed::node::Node;
+use crate::keyed::node::admission::{Pool, Waiting};
+use crate::keyed::node::answers::{Answer, CopyState, Role, Subscriber, first_generation};
+use crate::keyed::node::config::{FINISHED_KEPT, MAX_HOPS, ORPHAN_KEPT, RETRY_AFTER};
 use crate::schema::{
     BoxId, DeferredDone, DeferredResult, DeferredText, Detach, GenerateRequest, Moved, Output,
     Priority, Reason, Refusal, Refused, Request, RequestKey, RequestKind, Submit, TokenOffset,
@@ -216,7 +216,7 @@
             tokens: answer.len() as u32,
             digest: answer
                 .digest(answer.len())
-                .unwrap_or(crate::digest::start(key)),
+                .unwrap_or(crate::keyed::digest::start(key)),
             text: answer.text(),
         };
         let done = DeferredDone {
@@ -370,7 +370,7 @@
 }
 
 fn check_generate(
-    bundle: &crate::bundle::Bundle,
+    bundle: &crate::keyed::bundle::Bundle,
     request: &Request,
     generate: &GenerateRequest,
 ) -> Result<(), Refusal> {
--- a/src/node/heartbeats.rs
+++ b/src/keyed/node/heartbeats.rs
@@ -1,9 +1,9 @@
 //! Heartbeats: what boxes tell each other all the time, and what is looked after at each of them.
 
-use crate::node::Node;
-use crate::node::action::Action;
-use crate::node::config::{LOADS_PER_HEARTBEAT, REMOTE_HEARTBEATS};
-use crate::node::event::Timer;
+use crate::keyed::node::Node;
+use crate::keyed::node::action::Action;
+use crate::keyed::node::config::{LOADS_PER_HEARTBEAT, REMOTE_HEARTBEATS};
+use crate::keyed::node::event::Timer;
 use crate::rendezvous;
 use crate::schema::{
     BoxId, BundleVersion, EndpointId, Heartbeat, HybridTime, Incarnation, LoadReport, PromiseGrant,
--- a/src/node/ingress.rs
+++ b/src/keyed/node/ingress.rs
@@ -7,12 +7,12 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use crate::digest;
-use crate::node::Node;
-use crate::node::action::Reply;
-use crate::node::config::{MAX_HOPS, RECOVERY_LIMIT, RETRY_AFTER};
-use crate::node::event::{CallerEvent, Timer};
-use crate::node::roster::{SCRIBE_SLICE, slice_of};
+use crate::keyed::digest;
+use crate::keyed::node::Node;
+use crate::keyed::node::action::Reply;
+use crate::keyed::node::config::{MAX_HOPS, RECOVERY_LIMIT, RETRY_AFTER};
+use crate::keyed::node::event::{CallerEvent, Timer};
+use crate::keyed::node::roster::{SCRIBE_SLICE, slice_of};
 use crate::rendezvous;
 use crate::schema::{
     AnswerDigest, Answered, BoxId, Cursor, Defer, DeferReply, Detach, DomainId, Generation, Kept,
--- a/src/node/loads.rs
+++ b/src/keyed/node/loads.rs
@@ -3,10 +3,10 @@
 //! Each endpoint is asked by one box of its failure domain, which tells the others with its
 //! heartbeats; so the number of questions doesn't grow with the number of boxes.
 
-use crate::node::Node;
-use crate::node::action::Action;
-use crate::node::config::{BOXES_PER_POLL_HEARTBEAT, POLL_HEARTBEATS};
-use crate::node::event::{Load, Timer};
+use crate::keyed::node::Node;
+use crate::keyed::node::action::Action;
+use crate::keyed::node::config::{BOXES_PER_POLL_HEARTBEAT, POLL_HEARTBEATS};
+use crate::keyed::node::event::{Load, Timer};
 use crate::rendezvous;
 use crate::schema::{EndpointId, LoadReport};
 
--- a/src/node/membership.rs
+++ b/src/keyed/node/membership.rs
@@ -5,8 +5,8 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use crate::node::config::NodeConfig;
-use crate::node::roster::slice_of;
+use crate::keyed::node::config::NodeConfig;
+use crate::keyed::node::roster::slice_of;
 use crate::rendezvous;
 use crate::schema::{
     BoxId, BundleMark, DomainId, Epoch, FleetList, FleetState, Heartbeat, Incarnation, Member,
@@ -432,7 +432,7 @@
     /// Whether this box writes its failure domain's deferrable work.
     #[must_use]
     pub fn is_scribe(&self) -> bool {
-        self.is_home(crate::node::roster::SCRIBE_SLICE)
+        self.is_home(crate::keyed::node::roster::SCRIBE_SLICE)
     }
 }
 
--- a/src/node/orders.rs
+++ b/src/keyed/node/orders.rs
@@ -4,9 +4,9 @@
 //! under a lease that was confirmed a moment ago. Orders of one box keep a distance, which keeps
 //! the weight loads to the rate of the weight store.
 
-use crate::node::Node;
-use crate::node::action::{Action, Order};
-use crate::node::config::{ORDER_LEASE_AGE, ORDER_SPACING};
+use crate::keyed::node::Node;
+use crate::keyed::node::action::{Action, Order};
+use crate::keyed::node::config::{ORDER_LEASE_AGE, ORDER_SPACING};
 use crate::schema::{EndpointId, EndpointKind, Micros, ModelId};
 
 /// The orders that were given.
--- a/src/node/outbox.rs
+++ b/src/keyed/node/outbox.rs
@@ -3,8 +3,8 @@
 use std::collections::VecDeque;
 use std::fmt::Display;
 
-use crate::node::action::{Action, PlatformOp, Reply};
-use crate::node::event::Timer;
+use crate::keyed::node::action::{Action, PlatformOp, Reply};
+use crate::keyed::node::event::Timer;
 use crate::schema::{BoxId, Member, Micros, PeerMessage};
 
 /// The actions of one step.
--- a/src/node/platform.rs
+++ b/src/keyed/node/platform.rs
@@ -5,12 +5,12 @@
 
 use std::collections::BTreeMap;
 
-use crate::node::Node;
-use crate::node::action::{Expect, PlatformOp};
-use crate::node::config::READS_PER_LEASE;
-use crate::node::event::{Object, PlatformAnswer, Timer, roster_name};
-use crate::node::retries::backoff;
-use crate::node::roster;
+use crate::keyed::node::Node;
+use crate::keyed::node::action::{Expect, PlatformOp};
+use crate::keyed::node::config::READS_PER_LEASE;
+use crate::keyed::node::event::{Object, PlatformAnswer, Timer, roster_name};
+use crate::keyed::node::retries::backoff;
+use crate::keyed::node::roster;
 use crate::schema::{BatchId, BoxId, DomainId, Epoch, Incarnation, Micros, RequestKey, Roster};
 
 /// What a call of the platform was made for.
--- a/src/node/queueing.rs
+++ b/src/keyed/node/queueing.rs
@@ -1,8 +1,8 @@
 //! Moves work from the queues to endpoints.
 
-use crate::node::Node;
-use crate::node::admission::{Admitted, Pool, Waiting};
-use crate::node::config::RETRY_AFTER;
+use crate::keyed::node::Node;
+use crate::keyed::node::admission::{Admitted, Pool, Waiting};
+use crate::keyed::node::config::RETRY_AFTER;
 use crate::schema::{Reason, Refusal, RequestKey};
 
 impl Node {
--- a/src/node/routing.rs
+++ b/src/keyed/node/routing.rs
@@ -8,7 +8,7 @@
 
 use rand::Rng;
 
-use crate::node::endpoints::{EndpointState, Endpoints};
+use crate::keyed::node::endpoints::{EndpointState, Endpoints};
 use crate::schema::{AdapterId, DomainId, EndpointId, Micros};
 use crate::settings::Routing;
 
--- a/src/node/runs.rs
+++ b/src/keyed/node/runs.rs
@@ -5,13 +5,13 @@
 
 use std::time::Duration;
 
-use crate::node::Node;
-use crate::node::action::{Action, EngineStart};
-use crate::node::answers::{Answer, Role, Run};
-use crate::node::event::{EngineEvent, EngineFailure, StreamId};
-use crate::node::generate::pool_of;
-use crate::node::prefixes;
-use crate::node::routing::{self, Need};
+use crate::keyed::node::Node;
+use crate::keyed::node::action::{Action, EngineStart};
+use crate::keyed::node::answers::{Answer, Role, Run};
+use crate::keyed::node::event::{EngineEvent, EngineFailure, StreamId};
+use crate::keyed::node::generate::pool_of;
+use crate::keyed::node::prefixes;
+use crate::keyed::node::routing::{self, Need};
 use crate::schema::{
     Attempt, AttemptMark, EndpointId, EndpointKind, Finish, GenerateRequest, RequestKey,
     RequestKind, Token,
@@ -395,7 +395,7 @@
 }
 
 fn has_adapter(
-    bundle: &crate::bundle::Bundle,
+    bundle: &crate::keyed::bundle::Bundle,
     id: &EndpointId,
     adapter: &crate::schema::AdapterId,
 ) -> bool {
--- a/src/node/runs/failures.rs
+++ b/src/keyed/node/runs/failures.rs
@@ -1,13 +1,13 @@
 //! What follows when a run fails: going on elsewhere, waiting, or giving up.
 
 use super::AVOIDED;
-use crate::node::Node;
-use crate::node::action::Action;
-use crate::node::answers::{Role, Run};
-use crate::node::config::{MAX_ATTEMPTS, RETRY_AFTER};
-use crate::node::event::{EngineFailure, StreamId, Timer};
-use crate::node::generate::{pool_of, waiting_for};
-use crate::node::retries::backoff;
+use crate::keyed::node::Node;
+use crate::keyed::node::action::Action;
+use crate::keyed::node::answers::{Role, Run};
+use crate::keyed::node::config::{MAX_ATTEMPTS, RETRY_AFTER};
+use crate::keyed::node::event::{EngineFailure, StreamId, Timer};
+use crate::keyed::node::generate::{pool_of, waiting_for};
+use crate::keyed::node::retries::backoff;
 use crate::schema::{EndpointId, Finish, Reason, Refusal, RequestKey};
 
 impl Node {
@@ -80,7 +80,7 @@
     }
 
     /// Goes on with a generation whose run was lost.
-    pub(in crate::node) fn resume(&mut self, key: &RequestKey) {
+    pub(in crate::keyed::node) fn resume(&mut self, key: &RequestKey) {
         let Some(answer) = self.answers.get(key) else {
             return;
         };
@@ -147,7 +147,7 @@
     }
 
     /// The backoff of a generation or call is over.
-    pub(in crate::node) fn on_retry(&mut self, key: &RequestKey) {
+    pub(in crate::keyed::node) fn on_retry(&mut self, key: &RequestKey) {
         let idle = self.answers.get(key).is_some_and(|a| {
             !a.has_sound_run() && !a.waiting && a.finish.is_none() && a.role == Role::Producer
         });
--- a/src/node/runs/silence.rs
+++ b/src/keyed/node/runs/silence.rs
@@ -3,10 +3,10 @@
 use super::{
     ALIVE_REPORT, BYTES_PER_TOKEN, IMPORT_BASE, IMPORT_PER_TOKEN, MOST_RUNS, resume_bytes,
 };
-use crate::node::Node;
-use crate::node::config::BASELINE_TIMEOUT;
-use crate::node::event::{StreamId, Timer};
-use crate::node::suspicion::{ResumeCost, Stake, suspect_after, suspect_first_after};
+use crate::keyed::node::Node;
+use crate::keyed::node::config::BASELINE_TIMEOUT;
+use crate::keyed::node::event::{StreamId, Timer};
+use crate::keyed::node::suspicion::{ResumeCost, Stake, suspect_after, suspect_first_after};
 use crate::schema::{EndpointId, RequestKey};
 use crate::settings::Recovery;
 use std::time::Duration;
@@ -54,7 +54,7 @@
     }
 
     /// A run may have been silent for too long.
-    pub(in crate::node) fn check_silence(&mut self, stream: &StreamId) {
+    pub(in crate::keyed::node) fn check_silence(&mut self, stream: &StreamId) {
         let Some((last, limit)) = self.suspicion_limit(stream) else {
             return;
         };
--- a/src/node/slices.rs
+++ b/src/keyed/node/slices.rs
@@ -10,8 +10,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use crate::node::Node;
-use crate::node::roster::slice_of;
+use crate::keyed::node::Node;
+use crate::keyed::node::roster::slice_of;
 use crate::schema::{
     BoxId, Epoch, FleetState, Holding, Incarnation, Micros, OnceCopy, PeerMessage, RequestKey,
     SliceAsk, SliceId, SliceNote,
--- a/src/node/stopping.rs
+++ b/src/keyed/node/stopping.rs
@@ -3,10 +3,10 @@
 
 use std::time::Duration;
 
-use crate::node::Node;
-use crate::node::action::Action;
-use crate::node::answers::Role;
-use crate::node::roster;
+use crate::keyed::node::Node;
+use crate::keyed::node::action::Action;
+use crate::keyed::node::answers::Role;
+use crate::keyed::node::roster;
 use crate::schema::{BoxId, Micros, Moved, RequestKey};
 
 /// How often work that isn't written yet is handed over during a stop.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,24 +1,17 @@
 //! Magpiemoor serves long model generations on engines that fail without warning.
 //!
-//! The crate is a library with thin programs. [`node`] holds every decision of an entry box as a
-//! pure state machine; [`daemon`] is the shell around it that moves bytes; [`bundle`] and
-//! [`settings`] turn what operators write into checked types; [`schema`] holds the types that
-//! cross a process edge; [`cli`] is what operators run. [`dispatch`] decides for requests that belong
-//! to the box that reads them, and [`gateway`] is the shell around that.
+//! The crate is a library with thin programs. It holds two forms of an entry box, which share what
+//! stands beside them here and nothing of each other: [`gateway`] runs on the users' machines, where a
+//! request belongs to the box that reads it; [`keyed`] is the product's own face, where a request is
+//! known by a key. [`cli`] is what operators run. docs/ARCHITECTURE.md shows the whole.
 
-pub mod bundle;
 pub mod cli;
 pub mod clock;
-pub mod daemon;
-pub mod digest;
-pub mod dispatch;
-pub mod explain;
 pub mod gateway;
 pub mod http;
+pub mod keyed;
 pub mod logs;
 pub mod metrics;
-pub mod node;
 pub mod rendezvous;
 pub mod schema;
 pub mod settings;
-pub mod timeline;
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -15,7 +15,7 @@
 use ed25519_dalek::VerifyingKey;
 use log::LevelFilter;
 
-use crate::bundle::TrustedKeys;
+use crate::keyed::bundle::TrustedKeys;
 use crate::schema::{BoxId, DomainId, PeerSeed, SettingsFile, TrustedKey};
 
 pub use defaults::defaults;
--- a/tests/copies.rs
+++ b/tests/copies.rs
@@ -9,11 +9,11 @@
     GENEROUS, STREAMS, World, changed, domain_of, endpoint, endpoints, listed, records, sending,
     table,
 };
-use magpiemoor::dispatch::action::{Action, Sending};
-use magpiemoor::dispatch::event::{
+use magpiemoor::gateway::dispatch::action::{Action, Sending};
+use magpiemoor::gateway::dispatch::event::{
     CopyName, EndpointChange, Event, Fault, NotRunCause, Outcome, RequestNumber,
 };
-use magpiemoor::dispatch::record::Record;
+use magpiemoor::gateway::dispatch::record::Record;
 use magpiemoor::schema::EndpointId;
 use rstest::rstest;
 
--- a/tests/daemon.rs
+++ b/tests/daemon.rs
@@ -6,14 +6,14 @@
 
 use gotham::hyper::{Method, StatusCode};
 use magpiemoor::cli::observe::fetch_status;
-use magpiemoor::daemon::callers::problem::Problem;
 use magpiemoor::http::{Answer, Call};
-use magpiemoor_lab::caller::{
+use magpiemoor::keyed::daemon::callers::problem::Problem;
+use magpiemoor_lab::keyed::caller::{
     Ended, Received, Wanted, faults, follow, follow_to_end, service_call,
 };
-use magpiemoor_lab::engine::{Engine, Fault};
-use magpiemoor_lab::fleet::{MODEL, ONCE_CALL};
-use magpiemoor_lab::platform::Faults;
+use magpiemoor_lab::keyed::engine::{Engine, Fault};
+use magpiemoor_lab::keyed::fleet::{MODEL, ONCE_CALL};
+use magpiemoor_lab::keyed::platform::Faults;
 use rstest::rstest;
 use serde_json::{Value, json};
 use support::{PATIENCE, Running, size, start, start_without_bundle};
@@ -195,7 +195,7 @@
 fn home_of(running: &Running, key: &str) -> usize {
     let (_, roster) = running.platform.object("rosters/north").unwrap();
     let roster: magpiemoor::schema::Roster = serde_json::from_str(&roster).unwrap();
-    let slice = magpiemoor::node::roster::slice_of(&key.parse().unwrap());
+    let slice = magpiemoor::keyed::node::roster::slice_of(&key.parse().unwrap());
     let home = &roster.slices[usize::from(slice.0)].home;
     running
         .fleet
@@ -274,7 +274,7 @@
         .manifest
         .replace("\"version\":1", "\"version\":9");
     let platform = magpiemoor::cli::platform::Platform::new(&running.fleet.platform);
-    let key = magpiemoor_lab::fleet::KEY_ID.parse().unwrap();
+    let key = magpiemoor_lab::keyed::fleet::KEY_ID.parse().unwrap();
     magpiemoor::cli::bundle::roll_signed(&platform, &signed, &key)
         .await
         .unwrap();
--- a/tests/dispatch.rs
+++ b/tests/dispatch.rs
@@ -10,13 +10,13 @@
     GENEROUS, KEY, PAYMENTS, QUOTES, STREAMS, World, changed, commands, config, domain_of,
     endpoint, endpoints, listed, probes, records, refusal, sending, split_table, table, table_of,
 };
-use magpiemoor::dispatch::Dispatcher;
-use magpiemoor::dispatch::action::{Action, Command, RefusalReason};
-use magpiemoor::dispatch::budget::RetryPolicy;
-use magpiemoor::dispatch::event::{EndpointChange, Event, Fault, NotRunCause, Outcome};
-use magpiemoor::dispatch::peers::FetchKind;
-use magpiemoor::dispatch::record::Record;
-use magpiemoor::dispatch::table::TableVersion;
+use magpiemoor::gateway::dispatch::Dispatcher;
+use magpiemoor::gateway::dispatch::action::{Action, Command, RefusalReason};
+use magpiemoor::gateway::dispatch::budget::RetryPolicy;
+use magpiemoor::gateway::dispatch::event::{EndpointChange, Event, Fault, NotRunCause, Outcome};
+use magpiemoor::gateway::dispatch::peers::FetchKind;
+use magpiemoor::gateway::dispatch::record::Record;
+use magpiemoor::gateway::dispatch::table::TableVersion;
 use magpiemoor::schema::{BoxState, Incarnation, Micros, StoreReader};
 use rstest::rstest;
 
--- a/tests/explain.rs
+++ b/tests/explain.rs
@@ -2,10 +2,10 @@
 
 use std::process::Command;
 
-use magpiemoor::dispatch::action::RefusalReason;
-use magpiemoor::dispatch::event::Fault;
-use magpiemoor::dispatch::record::Record;
-use magpiemoor::explain::{Cause, LogLine, read, stories};
+use magpiemoor::gateway::dispatch::action::RefusalReason;
+use magpiemoor::gateway::dispatch::event::Fault;
+use magpiemoor::gateway::dispatch::record::Record;
+use magpiemoor::gateway::explain::{Cause, LogLine, read, stories};
 use magpiemoor::schema::HybridTime;
 use rstest::rstest;
 
--- a/tests/explorer.rs
+++ b/tests/explorer.rs
@@ -7,7 +7,7 @@
 
 use std::time::Duration;
 
-use magpiemoor::node::event::Event;
+use magpiemoor::keyed::node::event::Event;
 use magpiemoor::schema::{BoxId, DeferredResult, DeferredStatus, Priority, Reason};
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
--- a/tests/gateway/fixtures.rs
+++ b/tests/gateway/fixtures.rs
@@ -6,17 +6,17 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use magpiemoor::dispatch::action::{Action, Command, RefusalReason, Sending};
-use magpiemoor::dispatch::budget::RetryPolicy;
-use magpiemoor::dispatch::event::{
+use magpiemoor::gateway::dispatch::action::{Action, Command, RefusalReason, Sending};
+use magpiemoor::gateway::dispatch::budget::RetryPolicy;
+use magpiemoor::gateway::dispatch::event::{
     Arrival, EndpointChange, EndpointSpec, Event, Outcome, RequestNumber, Tokens, Try,
 };
-use magpiemoor::dispatch::record::Record;
-use magpiemoor::dispatch::table::{
+use magpiemoor::gateway::dispatch::record::Record;
+use magpiemoor::gateway::dispatch::table::{
     CallerLimits, EngineSpec, KeyHolder, Route, RouteKind, RoutingTable, ServiceSpec, TableParts,
     TableVersion, Target,
 };
-use magpiemoor::dispatch::{DispatchConfig, Dispatcher};
+use magpiemoor::gateway::dispatch::{DispatchConfig, Dispatcher};
 use magpiemoor::schema::{EndpointId, Incarnation, Micros};
 
 /// The streams' path.
--- a/tests/gateway_metrics.rs
+++ b/tests/gateway_metrics.rs
@@ -1,8 +1,8 @@
 //! What the metrics of a gateway count.
 
-use magpiemoor::dispatch::action::RefusalReason;
-use magpiemoor::dispatch::record::Record;
-use magpiemoor::gateway::metrics::GatewayMetrics;
+use magpiemoor::gateway::dispatch::action::RefusalReason;
+use magpiemoor::gateway::dispatch::record::Record;
+use magpiemoor::gateway::shell::metrics::GatewayMetrics;
 use rstest::rstest;
 
 fn sent(attempt: u32, from_backup: bool) -> Record {
--- a/tests/gateway_parts.rs
+++ b/tests/gateway_parts.rs
@@ -5,13 +5,13 @@
 use std::time::Duration;
 
 use gotham::hyper::{HeaderMap, Uri, header};
-use magpiemoor::dispatch::record::Record;
-use magpiemoor::gateway::decisions::DecisionLog;
-use magpiemoor::gateway::dialect::{Entry, Page};
-use magpiemoor::gateway::events::{EventCutter, RawEvent};
-use magpiemoor::gateway::headers;
+use magpiemoor::gateway::dispatch::record::Record;
 use magpiemoor::gateway::settings::{GatewaySettings, defaults};
-use magpiemoor::gateway::watcher::{News, Step, StepAnswer, Watcher};
+use magpiemoor::gateway::shell::decisions::DecisionLog;
+use magpiemoor::gateway::shell::dialect::{Entry, Page};
+use magpiemoor::gateway::shell::events::{EventCutter, RawEvent};
+use magpiemoor::gateway::shell::headers;
+use magpiemoor::gateway::shell::watcher::{News, Step, StepAnswer, Watcher};
 use magpiemoor::schema::{
     BoxState, EndpointUsage, GatewaySettingsFile, Incarnation, StateEntry, StateReply,
     StateRequest, StoreReader, UsageNews,
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -83,7 +83,7 @@
     for key in &calls {
         world.send_request("north-1", redeem(key));
     }
-    world.give(&stopping, magpiemoor::node::event::Event::Stop);
+    world.give(&stopping, magpiemoor::keyed::node::event::Event::Stop);
     let whole = |w: &mut World| keys.iter().all(|k| w.callers.get(k).finish.is_some());
     assert!(world.run_until(LIMIT, whole));
     assert!(
@@ -115,7 +115,7 @@
     world.send_request("north-0", redeem(&call));
     assert!(world.run_until(LIMIT, |w| w.callers.get(&key).tokens.len() > 10));
     let home = world.producer_of(&key);
-    world.give(&home, magpiemoor::node::event::Event::Stop);
+    world.give(&home, magpiemoor::keyed::node::event::Event::Stop);
     world.run(Duration::from_millis(after_ms));
     world.kill_box(&home);
     let back = world.others("north", &home)[0].to_string();
@@ -170,7 +170,7 @@
     });
     let stays = world.others("north", &scribe.unwrap())[0].clone();
     for id in world.box_ids().into_iter().filter(|id| *id != stays) {
-        world.give(&id, magpiemoor::node::event::Event::Stop);
+        world.give(&id, magpiemoor::keyed::node::event::Event::Stop);
     }
     world.run(Duration::from_secs(25));
     world.platform.outage = false;
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -4,12 +4,12 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use magpiemoor::node::admission::{Admission, Admitted, Pool, Waiting};
-use magpiemoor::node::endpoints::Endpoints;
-use magpiemoor::node::gaps::Gaps;
-use magpiemoor::node::prefixes::{Prefixes, blocks};
-use magpiemoor::node::retries::{RetryBudgets, backoff};
-use magpiemoor::node::suspicion::{Stake, suspect_after};
+use magpiemoor::keyed::node::admission::{Admission, Admitted, Pool, Waiting};
+use magpiemoor::keyed::node::endpoints::Endpoints;
+use magpiemoor::keyed::node::gaps::Gaps;
+use magpiemoor::keyed::node::prefixes::{Prefixes, blocks};
+use magpiemoor::keyed::node::retries::{RetryBudgets, backoff};
+use magpiemoor::keyed::node::suspicion::{Stake, suspect_after};
 use magpiemoor::schema::{EndpointId, Micros, OrganisationId, Priority, Weights};
 use rand::SeedableRng;
 use rstest::rstest;
--- a/tests/messages.rs
+++ b/tests/messages.rs
@@ -1,10 +1,10 @@
 //! Every message between boxes survives its journey, and no bytes make a box fall over.
 
-use magpiemoor::daemon::callers::parse::{event_id, parse_cursor};
-use magpiemoor::daemon::peers::{
+use magpiemoor::keyed::daemon::callers::parse::{event_id, parse_cursor};
+use magpiemoor::keyed::daemon::peers::{
     decode_envelope, decode_heartbeat, encode_frame, encode_heartbeat,
 };
-use magpiemoor::node::event::StreamId;
+use magpiemoor::keyed::node::event::StreamId;
 use magpiemoor::schema::*;
 use proptest::prelude::*;
 
@@ -344,7 +344,7 @@
         let _ = parse_cursor(&text);
         let _ = text.parse::<StreamId>();
         let _ = magpiemoor::settings::file::parse(&text);
-        let _ = magpiemoor::bundle::check::parse(&text);
+        let _ = magpiemoor::keyed::bundle::check::parse(&text);
     }
 }
 
--- a/tests/once.rs
+++ b/tests/once.rs
@@ -172,7 +172,7 @@
     let (mut world, key) = sent(1, "call_answered");
     world.run(Duration::from_secs(1));
     let home = world.home_of_call(&key);
-    let slice = magpiemoor::node::roster::slice_of(&key.parse().unwrap());
+    let slice = magpiemoor::keyed::node::roster::slice_of(&key.parse().unwrap());
     let successor: BoxId = world
         .node(&home)
         .unwrap()
@@ -263,7 +263,7 @@
     // keep each other's promise.
     let (mut world, key) = sent(seed, "call_answered");
     let home = world.home_of_call(&key);
-    let slice = magpiemoor::node::roster::slice_of(&key.parse().unwrap());
+    let slice = magpiemoor::keyed::node::roster::slice_of(&key.parse().unwrap());
     let successor: BoxId = world
         .node(&home)
         .unwrap()
@@ -420,8 +420,8 @@
     }
     let others = world.others("north", &alone);
     let nodes = others.iter().filter_map(|id| world.node(id));
-    let open: usize = nodes.map(magpiemoor::node::Node::open_slices).sum();
-    assert_eq!(open, usize::from(magpiemoor::node::roster::SLICES));
+    let open: usize = nodes.map(magpiemoor::keyed::node::Node::open_slices).sum();
+    assert_eq!(open, usize::from(magpiemoor::keyed::node::roster::SLICES));
     repeat_until_settled(&mut world, "north-1", &key);
     let caller = world.callers.get(&key);
     let refusal = caller.refusal.as_ref();
--- a/tests/platform_calls.rs
+++ b/tests/platform_calls.rs
@@ -3,10 +3,10 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use magpiemoor::node::Node;
-use magpiemoor::node::action::Action;
-use magpiemoor::node::config::NodeConfig;
-use magpiemoor::node::event::{Event, PlatformAnswer, Timer};
+use magpiemoor::keyed::node::Node;
+use magpiemoor::keyed::node::action::Action;
+use magpiemoor::keyed::node::config::NodeConfig;
+use magpiemoor::keyed::node::event::{Event, PlatformAnswer, Timer};
 use magpiemoor::schema::{Incarnation, Micros};
 use magpiemoor::settings::{Settings, defaults};
 use rstest::rstest;
--- a/tests/product.rs
+++ b/tests/product.rs
@@ -3,10 +3,10 @@
 use std::path::PathBuf;
 use std::process::{Command, Output};
 
-use magpiemoor::bundle::check::parse;
-use magpiemoor::bundle::parts::{join, split};
-use magpiemoor::bundle::sign::{TrustedKeys, new_key, sign, unsigned, verify};
 use magpiemoor::cli::config::SAMPLE;
+use magpiemoor::keyed::bundle::check::parse;
+use magpiemoor::keyed::bundle::parts::{join, split};
+use magpiemoor::keyed::bundle::sign::{TrustedKeys, new_key, sign, unsigned, verify};
 use magpiemoor::schema::BundleSource;
 use magpiemoor::settings::{Settings, defaults, file, overlay};
 use rstest::rstest;
--- a/tests/races.rs
+++ b/tests/races.rs
@@ -6,8 +6,8 @@
 use magpiemoor::cli::bundle::roll_signed;
 use magpiemoor::cli::observe::fetch_status;
 use magpiemoor::cli::platform::Platform;
-use magpiemoor_lab::fleet::KEY_ID;
-use magpiemoor_lab::platform::Faults;
+use magpiemoor_lab::keyed::fleet::KEY_ID;
+use magpiemoor_lab::keyed::platform::Faults;
 use support::{size, start};
 
 #[tokio::test(flavor = "multi_thread")]
--- a/tests/reach.rs
+++ b/tests/reach.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use fixtures::{GENEROUS, PAYMENTS, World, endpoint, listed, sending, table};
-use magpiemoor::dispatch::event::{Event, Outcome};
+use magpiemoor::gateway::dispatch::event::{Event, Outcome};
 use magpiemoor::schema::{BoxState, Incarnation};
 
 fn heard(world: &mut World, from: &str, domain: &str) {
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -9,11 +9,11 @@
 use magpiemoor::cli::observe::fetch_status;
 use magpiemoor::cli::platform::Platform as PlatformClient;
 use magpiemoor::http::{Call, Client};
-use magpiemoor_lab::engine::{Behaviour, Engine};
-use magpiemoor_lab::fleet::{Fleet, KEY_ID, Size};
-use magpiemoor_lab::platform::Platform;
+use magpiemoor_lab::keyed::engine::{Behaviour, Engine};
+use magpiemoor_lab::keyed::fleet::{Fleet, KEY_ID, Size};
+use magpiemoor_lab::keyed::platform::Platform;
+use magpiemoor_lab::keyed::service::Service;
 use magpiemoor_lab::process::Process;
-use magpiemoor_lab::service::Service;
 use tokio::net::TcpListener;
 
 /// How long anything that is waited for may take on a busy machine.
@@ -132,7 +132,8 @@
     }
 
     pub async fn wait_ready(&self) {
-        let slices = usize::from(magpiemoor::node::roster::SLICES) * self.fleet.domains.len();
+        let slices =
+            usize::from(magpiemoor::keyed::node::roster::SLICES) * self.fleet.domains.len();
         self.wait_for("the fleet to be ready", async || {
             let mut open = 0;
             for plan in &self.fleet.boxes {
--- a/tests/usage.rs
+++ b/tests/usage.rs
@@ -6,8 +6,8 @@
 use std::net::SocketAddr;
 
 use fixtures::{STREAMS, World};
-use magpiemoor::dispatch::action::Action;
-use magpiemoor::dispatch::event::Event;
+use magpiemoor::gateway::dispatch::action::Action;
+use magpiemoor::gateway::dispatch::event::Event;
 use magpiemoor::schema::{BoxState, EndpointId, EndpointUsage, Incarnation, UsageNews};
 use rstest::rstest;
 
--- a/tests/world/callers.rs
+++ b/tests/world/callers.rs
@@ -2,9 +2,9 @@
 
 use std::collections::BTreeMap;
 
-use magpiemoor::digest;
-use magpiemoor::node::action::Reply;
-use magpiemoor::node::event::CallerEvent;
+use magpiemoor::keyed::digest;
+use magpiemoor::keyed::node::action::Reply;
+use magpiemoor::keyed::node::event::CallerEvent;
 use magpiemoor::schema::{
     BoxId, CallRequest, Cursor, DeferredStatus, Finish, GenerateRequest, Kept, Micros, Millis,
     Priority, Ran, Refusal, Request, RequestKey, RequestKind, ServiceAnswer, Token, TokenOffset,
--- a/tests/world/endpoints.rs
+++ b/tests/world/endpoints.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use magpiemoor::node::action::{EngineStart, Order, ServiceCall};
-use magpiemoor::node::event::{
+use magpiemoor::keyed::node::action::{EngineStart, Order, ServiceCall};
+use magpiemoor::keyed::node::event::{
     EngineEvent, EngineFailure, Event, Load, NotSent, ServiceOutcome, StreamId,
 };
 use magpiemoor::schema::{BoxId, EndpointId, Finish, LoadReport, Micros, ServiceAnswer, Token};
--- a/tests/world/fixtures.rs
+++ b/tests/world/fixtures.rs
@@ -3,9 +3,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use magpiemoor::bundle::parts::{join, split};
-use magpiemoor::bundle::sign::unsigned;
-use magpiemoor::node::config::NodeConfig;
+use magpiemoor::keyed::bundle::parts::{join, split};
+use magpiemoor::keyed::bundle::sign::unsigned;
+use magpiemoor::keyed::node::config::NodeConfig;
 use magpiemoor::schema::{
     BoxId, BundlePointer, BundleSource, BundleVersion, CallSpec, EndpointKind, EndpointSpec,
     EngineSpec, Incarnation, Member, Millis, ModelSpec, OrganisationSpec, PeerSeed, Policy,
@@ -200,7 +200,7 @@
                 .filter_map(|s| s.node.as_ref())
                 .collect();
             let open: usize = nodes.iter().map(|n| n.open_slices()).sum();
-            let slices = usize::from(magpiemoor::node::roster::SLICES);
+            let slices = usize::from(magpiemoor::keyed::node::roster::SLICES);
             let name = format!("rosters/{domain}");
             let epoch = self
                 .platform
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -15,11 +15,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use magpiemoor::bundle::{Bundle, SignedBundle};
-use magpiemoor::node::Node;
-use magpiemoor::node::action::{Action, EngineStart, Order, PlatformOp, ServiceCall};
-use magpiemoor::node::config::NodeConfig;
-use magpiemoor::node::event::{CallerEvent, EngineEvent, Event, NotSent, ServiceOutcome, Timer};
+use magpiemoor::keyed::bundle::{Bundle, SignedBundle};
+use magpiemoor::keyed::node::Node;
+use magpiemoor::keyed::node::action::{Action, EngineStart, Order, PlatformOp, ServiceCall};
+use magpiemoor::keyed::node::config::NodeConfig;
+use magpiemoor::keyed::node::event::{
+    CallerEvent, EngineEvent, Event, NotSent, ServiceOutcome, Timer,
+};
 use magpiemoor::schema::{BoxId, BundleVersion, FleetState, Member, Micros, PeerMessage};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -450,7 +452,7 @@
         &mut self,
         id: &BoxId,
         life: u64,
-        stream: &magpiemoor::node::event::StreamId,
+        stream: &magpiemoor::keyed::node::event::StreamId,
         event: EngineEvent,
     ) {
         let hop = self.hop();
--- a/tests/world/platform.rs
+++ b/tests/world/platform.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use magpiemoor::node::action::{Expect, PlatformOp};
-use magpiemoor::node::event::{Event, Object, PlatformAnswer};
+use magpiemoor::keyed::node::action::{Expect, PlatformOp};
+use magpiemoor::keyed::node::event::{Event, Object, PlatformAnswer};
 use magpiemoor::schema::{BoxId, FleetEntry, FleetList, FleetState, Incarnation, Micros};
 
 use super::World;
