--- a/benches/decisions/keyed.rs
+++ b/benches/decisions/keyed.rs
@@ -15,12 +15,12 @@
 use magpiemoor::keyed::node::event::{CallerEvent, EngineEvent, Event, StreamId};
 use magpiemoor::keyed::node::prefixes;
 use magpiemoor::keyed::node::routing::{Need, choose};
+use magpiemoor::keyed::settings::{Recovery, Routing};
 use magpiemoor::schema::{
     BundleSource, BundleVersion, DomainId, EndpointId, EndpointKind, EndpointSpec, EngineSpec,
     Epoch, GenerateRequest, Heartbeat, HybridTime, Incarnation, LoadReport, Member, Micros, Millis,
     ModelId, ModelSpec, OrganisationSpec, Policy, Priority, Request, RequestKind, Token, Weights,
 };
-use magpiemoor::settings::{Recovery, Routing};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -5,7 +5,8 @@
 use std::time::Duration;
 
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
-use magpiemoor::settings::{Settings, file};
+use magpiemoor::keyed::settings::Settings;
+use magpiemoor::settings::file;
 use magpiemoor_lab::keyed::engine::{self, Engine};
 use magpiemoor_lab::keyed::platform::Platform;
 use magpiemoor_lab::keyed::service::Service;
--- a/src/bin/magpiemoord.rs
+++ b/src/bin/magpiemoord.rs
@@ -4,9 +4,10 @@
 use std::process::ExitCode;
 
 use magpiemoor::keyed::daemon;
+use magpiemoor::keyed::settings::{Settings, args, overlay};
 use magpiemoor::logs;
 use magpiemoor::schema::SettingsFile;
-use magpiemoor::settings::{Settings, SettingsError, args, file, overlay};
+use magpiemoor::settings::{SettingsError, file};
 
 fn main() -> ExitCode {
     let matches = args::command().get_matches();
--- a/src/cli/config.rs
+++ b/src/cli/config.rs
@@ -6,7 +6,8 @@
 use serde_json::json;
 
 use crate::cli::{CliError, Output};
-use crate::settings::{Settings, SettingsError, file};
+use crate::keyed::settings::Settings;
+use crate::settings::{SettingsError, file};
 
 /// The commented sample, which equals the defaults.
 pub const SAMPLE: &str = include_str!("../../samples/magpiemoord.jsonc");
--- a/src/gateway/shell.rs
+++ b/src/gateway/shell.rs
@@ -36,7 +36,7 @@
 use crate::gateway::dispatch::{DispatchConfig, Dispatcher};
 use crate::gateway::settings::GatewaySettings;
 use crate::http::ServeOptions;
-use crate::keyed::daemon::{DaemonError, listen};
+use crate::listen::{DaemonError, listen, listen_udp};
 use crate::schema::Incarnation;
 use control::Control;
 use dialect::{Dialect, Source};
@@ -64,13 +64,7 @@
             health: listen("health", settings.health).await?,
             metrics: listen("metrics", settings.metrics).await?,
             peers: listen("peers_address", peers).await?,
-            gossip: UdpSocket::bind(peers)
-                .await
-                .map_err(|error| DaemonError::Listen {
-                    setting: "peers_address",
-                    address: peers,
-                    error,
-                })?,
+            gossip: listen_udp("peers_address", peers).await?,
         })
     }
 }
--- a/src/gateway/shell/shared.rs
+++ b/src/gateway/shell/shared.rs
@@ -18,7 +18,7 @@
 use crate::gateway::shell::known::Known;
 use crate::gateway::shell::metrics::GatewayMetrics;
 use crate::gateway::shell::pool::Pool;
-use crate::keyed::daemon::DaemonError;
+use crate::listen::DaemonError;
 use crate::schema::{StateReply, StateRequest};
 
 /// When to come back to a box that holds too much.
--- a/src/keyed.rs
+++ b/src/keyed.rs
@@ -1,12 +1,13 @@
 //! The product's own face: requests are known by a key that names or hashes to a failure domain, so a
 //! caller can come back to any box.
 //!
-//! [`node`] decides, without input or output; [`daemon`] is the shell around it; [`bundle`]
-//! turns what operators write into checked types; [`timeline`] keeps the events of a
+//! [`node`] decides, without input or output; [`daemon`] is the shell around it; [`bundle`] and
+//! [`settings`] turn what operators write into checked types; [`timeline`] keeps the events of a
 //! process. The users' machines run the other form, [`crate::gateway`].
 
 pub mod bundle;
 pub mod daemon;
 pub mod digest;
 pub mod node;
+pub mod settings;
 pub mod timeline;
--- a/src/keyed/daemon.rs
+++ b/src/keyed/daemon.rs
@@ -16,8 +16,6 @@
 pub mod services;
 pub mod timers;
 
-use std::fmt;
-use std::net::SocketAddr;
 use std::sync::{Arc, RwLock};
 
 use tokio::net::{TcpListener, UdpSocket};
@@ -28,9 +26,10 @@
 use crate::keyed::bundle::Bundle;
 use crate::keyed::node::Node;
 use crate::keyed::node::config::NodeConfig;
+use crate::keyed::settings::Settings;
 use crate::keyed::timeline::Timeline;
+use crate::listen::{DaemonError, listen, listen_udp};
 use crate::schema::Incarnation;
-use crate::settings::Settings;
 use control::Control;
 use input::Input;
 use metrics::Metrics;
@@ -38,47 +37,6 @@
 /// How many inputs may wait for the control thread before senders wait.
 const INPUT_CAPACITY: usize = 65_536;
 
-/// Why the daemon could not run.
-#[derive(Debug)]
-pub enum DaemonError {
-    /// An address can't be listened on.
-    Listen {
-        /// The setting that names the address.
-        setting: &'static str,
-        /// The address.
-        address: SocketAddr,
-        /// What the system says.
-        error: std::io::Error,
-    },
-    /// Threads can't be started.
-    Threads(std::io::Error),
-}
-
-impl fmt::Display for DaemonError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Self::Listen {
-                setting,
-                address,
-                error,
-            } => {
-                write!(
-                    f,
-                    "{setting} = {address}: {error}; choose an address of this box that is free"
-                )
-            }
-            Self::Threads(error) => {
-                write!(
-                    f,
-                    "threads can't be started: {error}; allow this user more of them"
-                )
-            }
-        }
-    }
-}
-
-impl std::error::Error for DaemonError {}
-
 /// What all parts of the daemon share.
 #[derive(Clone)]
 pub struct Shared {
@@ -147,31 +105,11 @@
             callers: listen("callers", settings.callers).await?,
             operators: listen("operators", settings.operators).await?,
             peers: listen("peers_address", settings.peers_address).await?,
-            heartbeats: UdpSocket::bind(settings.peers_address)
-                .await
-                .map_err(|error| DaemonError::Listen {
-                    setting: "peers_address",
-                    address: settings.peers_address,
-                    error,
-                })?,
+            heartbeats: listen_udp("peers_address", settings.peers_address).await?,
         })
     }
 }
 
-/// Listens on an address that a setting names.
-pub(crate) async fn listen(
-    setting: &'static str,
-    address: SocketAddr,
-) -> Result<TcpListener, DaemonError> {
-    TcpListener::bind(address)
-        .await
-        .map_err(|error| DaemonError::Listen {
-            setting,
-            address,
-            error,
-        })
-}
-
 /// Runs the daemon until it has stopped.
 ///
 /// # Errors
--- a/src/keyed/daemon/control.rs
+++ b/src/keyed/daemon/control.rs
@@ -15,8 +15,8 @@
 use crate::keyed::node::Node;
 use crate::keyed::node::action::{Action, Reply};
 use crate::keyed::node::event::{CallerEvent, Event};
+use crate::keyed::settings::Settings;
 use crate::schema::Member;
-use crate::settings::Settings;
 
 /// Events of the time line that are changes of state, and so are logged.
 const LOGGED: [&str; 13] = [
--- a/src/keyed/node/config.rs
+++ b/src/keyed/node/config.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
+use crate::keyed::settings::{Recovery, Routing, Settings};
 use crate::schema::{BoxId, DomainId, Incarnation, Member, PeerSeed};
-use crate::settings::{Recovery, Routing, Settings};
 
 /// Heartbeats that must be missing before a box counts as silent.
 pub const SILENT_HEARTBEATS: u32 = 4;
--- a/src/keyed/node/routing.rs
+++ b/src/keyed/node/routing.rs
@@ -9,8 +9,8 @@
 use rand::Rng;
 
 use crate::keyed::node::endpoints::{EndpointState, Endpoints};
+use crate::keyed::settings::Routing;
 use crate::schema::{AdapterId, DomainId, EndpointId, Micros};
-use crate::settings::Routing;
 
 /// Seconds that crossing to another failure domain counts as.
 const REMOTE_SECONDS: f64 = 0.02;
--- a/src/keyed/node/runs.rs
+++ b/src/keyed/node/runs.rs
@@ -12,11 +12,11 @@
 use crate::keyed::node::generate::pool_of;
 use crate::keyed::node::prefixes;
 use crate::keyed::node::routing::{self, Need};
+use crate::keyed::settings::Recovery;
 use crate::schema::{
     Attempt, AttemptMark, EndpointId, EndpointKind, Finish, GenerateRequest, RequestKey,
     RequestKind, Token,
 };
-use crate::settings::Recovery;
 
 /// The most runs of one generation at the same time.
 const MOST_RUNS: usize = 2;
--- a/src/keyed/node/runs/silence.rs
+++ b/src/keyed/node/runs/silence.rs
@@ -7,8 +7,8 @@
 use crate::keyed::node::config::BASELINE_TIMEOUT;
 use crate::keyed::node::event::{StreamId, Timer};
 use crate::keyed::node::suspicion::{ResumeCost, Stake, suspect_after, suspect_first_after};
+use crate::keyed::settings::Recovery;
 use crate::schema::{EndpointId, RequestKey};
-use crate::settings::Recovery;
 use std::time::Duration;
 
 impl Node {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -10,6 +10,7 @@
 pub mod gateway;
 pub mod http;
 pub mod keyed;
+pub mod listen;
 pub mod logs;
 pub mod metrics;
 pub mod rendezvous;
--- a/tests/platform_calls.rs
+++ b/tests/platform_calls.rs
@@ -7,8 +7,8 @@
 use magpiemoor::keyed::node::action::Action;
 use magpiemoor::keyed::node::config::NodeConfig;
 use magpiemoor::keyed::node::event::{Event, PlatformAnswer, Timer};
+use magpiemoor::keyed::settings::{Settings, defaults};
 use magpiemoor::schema::{Incarnation, Micros};
-use magpiemoor::settings::{Settings, defaults};
 use rstest::rstest;
 
 /// How long the platform takes to answer.
--- a/tests/product.rs
+++ b/tests/product.rs
@@ -7,8 +7,9 @@
 use magpiemoor::keyed::bundle::check::parse;
 use magpiemoor::keyed::bundle::parts::{join, split};
 use magpiemoor::keyed::bundle::sign::{TrustedKeys, new_key, sign, unsigned, verify};
+use magpiemoor::keyed::settings::{Settings, defaults, overlay};
 use magpiemoor::schema::BundleSource;
-use magpiemoor::settings::{Settings, defaults, file, overlay};
+use magpiemoor::settings::file;
 use rstest::rstest;
 
 const LUNDAVIK: &str = include_str!("../samples/lundavik.jsonc");
@@ -56,12 +57,12 @@
 #[test]
 fn the_command_line_goes_before_the_file_and_the_file_before_the_defaults() {
     let written = file::parse("{ \"lease_ms\": 5000, \"log_level\": \"warn\" }").unwrap();
-    let args = magpiemoor::settings::args::command().get_matches_from([
+    let args = magpiemoor::keyed::settings::args::command().get_matches_from([
         "magpiemoord",
         "--log-level",
         "error",
     ]);
-    let settings = overlay(magpiemoor::settings::args::overrides(&args), written);
+    let settings = overlay(magpiemoor::keyed::settings::args::overrides(&args), written);
     let settings = Settings::try_from(settings).unwrap();
     assert_eq!(settings.lease.as_millis(), 5_000);
     assert_eq!(settings.log_level, log::LevelFilter::Error);
--- a/tests/world/fixtures.rs
+++ b/tests/world/fixtures.rs
@@ -6,12 +6,12 @@
 use magpiemoor::keyed::bundle::parts::{join, split};
 use magpiemoor::keyed::bundle::sign::unsigned;
 use magpiemoor::keyed::node::config::NodeConfig;
+use magpiemoor::keyed::settings::{Recovery, Routing};
 use magpiemoor::schema::{
     BoxId, BundlePointer, BundleSource, BundleVersion, CallSpec, EndpointKind, EndpointSpec,
     EngineSpec, Incarnation, Member, Millis, ModelSpec, OrganisationSpec, PeerSeed, Policy,
     Priority, ServiceCalls, ServiceSpec, Weights,
 };
-use magpiemoor::settings::{Recovery, Routing};
 
 use super::endpoints::{Engine, Service};
 use super::{Slot, World};
