--- a/src/gateway/shell.rs
+++ b/src/gateway/shell.rs
@@ -17,7 +17,6 @@
 pub mod metrics;
 pub mod operators;
 pub mod peers;
-pub mod pool;
 pub mod probes;
 pub mod sending;
 pub mod shared;
@@ -35,7 +34,7 @@
 use crate::gateway::dispatch::record::Record;
 use crate::gateway::dispatch::{DispatchConfig, Dispatcher};
 use crate::gateway::settings::GatewaySettings;
-use crate::http::ServeOptions;
+use crate::http::{ServeOptions, pool};
 use crate::listen::{DaemonError, listen, listen_udp};
 use crate::schema::Incarnation;
 use control::Control;
@@ -45,6 +44,9 @@
 
 /// How many inputs may wait for the control thread before senders wait.
 const INPUT_CAPACITY: usize = 16_384;
+/// How long a connection to an endpoint may rest before it is closed. Chosen a little longer than any attempt
+/// may reuse one, not measured.
+const LONGEST_REST: std::time::Duration = std::time::Duration::from_secs(5);
 /// How long a connection may rest before there is a configuration.
 const UNCONFIGURED_IDLE: std::time::Duration = std::time::Duration::from_secs(15);
 
@@ -106,7 +108,7 @@
     runtime.spawn(crate::http::serve(listeners.metrics, operators));
     runtime.spawn(store::follow(Source::Table, shared.clone()));
     runtime.spawn(store::follow(Source::Endpoints, shared.clone()));
-    runtime.spawn(pool::sweep_resting(Arc::clone(&shared.pool)));
+    runtime.spawn(pool::sweep_resting(Arc::clone(&shared.pool), LONGEST_REST));
     runtime.spawn(stop::stop_on_signal(shared.clone()));
     runtime.spawn(stop::reload_on_change(file, shared.clone()));
     let control = Control::new(dispatcher, shared, runtime.handle().clone(), gossip);
--- a/src/gateway/shell/copies.rs
+++ b/src/gateway/shell/copies.rs
@@ -11,7 +11,7 @@
 use crate::gateway::dispatch::event::{CopyName, Event, RequestNumber, Try};
 use crate::gateway::shell::GatewayShared;
 use crate::gateway::shell::input::Input;
-use crate::gateway::shell::pool::Pool;
+use crate::http::pool::Pool;
 use crate::schema::EndpointId;
 
 /// How long a connection may have rested.
--- a/src/gateway/shell/exchange.rs
+++ b/src/gateway/shell/exchange.rs
@@ -19,10 +19,10 @@
 use crate::gateway::shell::dialect::AnswerKind;
 use crate::gateway::shell::events::EventCutter;
 use crate::gateway::shell::input::Input;
-use crate::gateway::shell::pool::Connection;
 use crate::gateway::shell::sending::{CallerRequest, Held, hold, open};
 use crate::gateway::shell::{GatewayShared, headers};
 use crate::http;
+use crate::http::pool::Connection;
 
 /// How many events wait for a slow caller before the engine is read no further.
 const EVENTS_WAITING: usize = 20;
--- a/src/gateway/shell/probes.rs
+++ b/src/gateway/shell/probes.rs
@@ -10,7 +10,7 @@
 use crate::gateway::dispatch::event::{EndpointSpec, Event, RequestNumber};
 use crate::gateway::shell::GatewayShared;
 use crate::gateway::shell::input::Input;
-use crate::gateway::shell::pool::{Connection, Pool};
+use crate::http::pool::{Connection, Pool};
 use crate::schema::EndpointId;
 
 /// How long a connection may have rested for a probe.
--- a/src/gateway/shell/sending.rs
+++ b/src/gateway/shell/sending.rs
@@ -11,8 +11,8 @@
 
 use crate::gateway::dispatch::action::Sending;
 use crate::gateway::dispatch::event::{Fault, Outcome};
-use crate::gateway::shell::pool::{Connection, Pool, SendError};
 use crate::gateway::shell::{GatewayShared, headers};
+use crate::http::pool::{Connection, Pool, SendError};
 
 /// The greatest answer that is held whole, in bytes.
 const MOST_HELD: usize = 8 << 20;
--- a/src/gateway/shell/shared.rs
+++ b/src/gateway/shell/shared.rs
@@ -17,13 +17,16 @@
 use crate::gateway::shell::input::Input;
 use crate::gateway::shell::known::Known;
 use crate::gateway::shell::metrics::GatewayMetrics;
-use crate::gateway::shell::pool::Pool;
+use crate::http::pool::Pool;
 use crate::listen::DaemonError;
 use crate::schema::{StateReply, StateRequest};
 
 /// When to come back to a box that holds too much.
 const RETRY_FULL: std::time::Duration = std::time::Duration::from_millis(500);
 
+/// How many connections to one endpoint are kept at rest. Chosen, not measured.
+const KEPT_PER_ENDPOINT: usize = 8;
+
 #[derive(Debug, Default)]
 struct Standing {
     table: RwLock<Option<Arc<RoutingTable>>>,
@@ -93,7 +96,7 @@
             log: Arc::new(log),
             metrics: Arc::new(GatewayMetrics::new()),
             inputs,
-            pool: Arc::new(Pool::default()),
+            pool: Arc::new(Pool::new(KEPT_PER_ENDPOINT)),
             closing: watch::channel(false).0,
             reading: watch::channel(false).0,
             standing: Arc::default(),
--- a/src/gateway/shell/store.rs
+++ b/src/gateway/shell/store.rs
@@ -12,8 +12,8 @@
 use crate::gateway::shell::GatewayShared;
 use crate::gateway::shell::dialect::{Entry, Source};
 use crate::gateway::shell::input::Input;
-use crate::gateway::shell::pool::{Connection, Pool};
 use crate::gateway::shell::watcher::{News, Step, StepAnswer, Watcher};
+use crate::http::pool::{Connection, Pool};
 
 /// How long configurations gather.
 const GATHER_TABLES: Duration = Duration::from_millis(100);
--- a/src/gateway/shell/pool.rs
+++ b/src/http/pool.rs
@@ -1,11 +1,12 @@
-//! Connections to endpoints, by hyper: one request at a time each, kept for reuse.
+//! Outgoing connections, by hyper: one request at a time each, kept for reuse.
 //!
 //! A connection goes back only after a whole answer; one that broke off, was given up, or got
 //! bytes that belong to no request is closed.
 
 use std::collections::HashMap;
+use std::fmt;
 use std::net::SocketAddr;
-use std::sync::Mutex;
+use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
@@ -19,10 +20,26 @@
 use tokio::net::TcpStream;
 use tokio::task::AbortHandle;
 
-use crate::http::keep_probing;
-
-/// How many connections to one endpoint are kept at rest.
-const KEPT_PER_ENDPOINT: usize = 8;
+/// How long a connection may be without a word of its peer before it is probed.
+const KEEPALIVE_IDLE: Duration = Duration::from_secs(1);
+/// Time between such probes.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
+/// How many probes go unanswered before a connection counts as lost.
+const KEEPALIVE_PROBES: u32 = 2;
+/// How long bytes may go without an acknowledgement.
+const UNACKNOWLEDGED_LIMIT: Duration = Duration::from_millis(1_500);
+
+/// Lets the system notice a peer that is cut off or without power.
+fn keep_probing(socket: &tokio::net::TcpStream) {
+    let socket = socket2::SockRef::from(socket);
+    let keepalive = socket2::TcpKeepalive::new()
+        .with_time(KEEPALIVE_IDLE)
+        .with_interval(KEEPALIVE_INTERVAL)
+        .with_retries(KEEPALIVE_PROBES);
+    // Without these a lost peer is noticed later; nothing else depends on them.
+    let _ = socket.set_tcp_keepalive(&keepalive);
+    let _ = socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_LIMIT));
+}
 
 /// Ends a connection's task, and so closes it, when it is dropped.
 #[derive(Debug)]
@@ -34,7 +51,7 @@
     }
 }
 
-/// A connection to an endpoint.
+/// A connection to an endpoint, a box or the platform.
 #[derive(Debug)]
 pub struct Connection {
     address: SocketAddr,
@@ -54,6 +71,18 @@
     Malformed,
 }
 
+impl fmt::Display for SendError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            Self::NotSent => "no connection, so nothing was sent",
+            Self::Broken => "the connection broke",
+            Self::Malformed => "what came back is no HTTP answer",
+        })
+    }
+}
+
+impl std::error::Error for SendError {}
+
 impl Connection {
     /// Sends a request and waits for the answer's head.
     ///
@@ -108,29 +137,36 @@
     }
 }
 
-/// How long a connection may rest before it is closed.
-const LONGEST_REST: Duration = Duration::from_secs(5);
-
-/// Closes connections that have rested for long, for as long as the process runs.
-pub async fn sweep_resting(pool: std::sync::Arc<Pool>) {
+/// Closes connections that have rested longer than `rest`, for as long as the future is polled.
+pub async fn sweep_resting(pool: Arc<Pool>, rest: Duration) {
     loop {
-        tokio::time::sleep(LONGEST_REST / 2).await;
-        pool.sweep(LONGEST_REST);
+        tokio::time::sleep(rest / 2).await;
+        pool.sweep(rest);
     }
 }
 
 /// Connections at rest.
-#[derive(Debug, Default)]
+#[derive(Debug)]
 pub struct Pool {
+    kept_per_address: usize,
     resting: Mutex<HashMap<SocketAddr, Vec<Connection>>>,
 }
 
 impl Pool {
+    /// An empty pool that keeps so many connections to one address at rest.
+    #[must_use]
+    pub fn new(kept_per_address: usize) -> Self {
+        Self {
+            kept_per_address,
+            resting: Mutex::default(),
+        }
+    }
+
     /// Takes a connection that has rested no longer than `rest`.
     pub fn take(&self, address: SocketAddr, rest: Duration) -> Option<Connection> {
         let mut resting = self.lock();
-        let of_endpoint = resting.get_mut(&address)?;
-        while let Some(mut connection) = of_endpoint.pop() {
+        let of_address = resting.get_mut(&address)?;
+        while let Some(mut connection) = of_address.pop() {
             if connection.rested_since.elapsed() <= rest && connection.is_ready() {
                 return Some(connection);
             }
@@ -173,9 +209,9 @@
         }
         connection.rested_since = Instant::now();
         let mut resting = self.lock();
-        let of_endpoint = resting.entry(connection.address).or_default();
-        if of_endpoint.len() < KEPT_PER_ENDPOINT {
-            of_endpoint.push(connection);
+        let of_address = resting.entry(connection.address).or_default();
+        if of_address.len() < self.kept_per_address {
+            of_address.push(connection);
         }
     }
 
--- a/src/keyed/daemon.rs
+++ b/src/keyed/daemon.rs
@@ -148,6 +148,7 @@
         listeners.operators,
         operators::router(shared.clone()),
     ));
+    runtime.spawn(shared.client.clone().sweep_resting());
     runtime.spawn(stop_on_signal(shared.clone()));
     log::info!(
         "box {} listens for callers on {}",
--- a/src/keyed/daemon/engines.rs
+++ b/src/keyed/daemon/engines.rs
@@ -8,7 +8,7 @@
 use http_body_util::BodyExt;
 use serde::{Deserialize, Serialize};
 
-use crate::http::{Call, HttpError};
+use crate::http::{AnswerBody, Call, HttpError};
 use crate::keyed::daemon::Shared;
 use crate::keyed::daemon::input::Input;
 use crate::keyed::node::action::{EngineStart, Order};
@@ -118,10 +118,7 @@
     shared.tell(Input::Event(event)).await;
 }
 
-async fn open(
-    start: &EngineStart,
-    shared: &Shared,
-) -> Result<gotham::hyper::body::Incoming, EngineFailure> {
+async fn open(start: &EngineStart, shared: &Shared) -> Result<AnswerBody, EngineFailure> {
     let path = match &start.attach {
         Some(stream) => format!("/v1/streams/{stream}?from={}", start.tokens.len()),
         None => "/v1/streams".to_owned(),
@@ -163,11 +160,7 @@
 }
 
 /// Reads a stream to its end and says how it ended.
-async fn follow(
-    start: &EngineStart,
-    body: gotham::hyper::body::Incoming,
-    shared: &Shared,
-) -> EngineEvent {
+async fn follow(start: &EngineStart, body: AnswerBody, shared: &Shared) -> EngineEvent {
     let name = start
         .attach
         .clone()
--- a/src/keyed/daemon/operators.rs
+++ b/src/keyed/daemon/operators.rs
@@ -1,5 +1,7 @@
 //! The operators' face: health, readiness, metrics, status and the time line.
 
+use std::time::Duration;
+
 use gotham::handler::HandlerError;
 use gotham::helpers::http::Body;
 use gotham::hyper::{Response, StatusCode};
@@ -20,6 +22,9 @@
     subject: Option<String>,
 }
 
+/// How long the control thread may take to say how the box stands. Chosen, not measured.
+const STATUS_LIMIT: Duration = Duration::from_secs(2);
+
 /// The operators' routes.
 #[must_use]
 pub fn router(shared: Shared) -> Router {
@@ -41,9 +46,7 @@
 async fn ask_status(shared: &Shared) -> Option<Status> {
     let (reply, answer) = oneshot::channel();
     shared.tell(Input::Status(reply)).await;
-    http::within(std::time::Duration::from_secs(2), answer)
-        .await?
-        .ok()
+    tokio::time::timeout(STATUS_LIMIT, answer).await.ok()?.ok()
 }
 
 fn text(status: StatusCode, text: &'static str) -> Response<Body> {
--- /dev/null
+++ b/tests/http_client.rs
@@ -0,0 +1,107 @@
+//! The client for the product's own calls: which connections it uses again, and when it sends anew.
+
+use std::sync::Arc;
+use std::sync::atomic::{AtomicU32, Ordering};
+use std::time::Duration;
+
+use gotham::hyper::Method;
+use magpiemoor::http::{Call, Client, HttpError};
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::Notify;
+
+/// Only a hang makes a call take as long.
+const LIMIT: Duration = Duration::from_secs(60);
+const ANSWER: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
+
+/// What a server has seen.
+#[derive(Clone, Default)]
+struct Seen {
+    connections: Arc<AtomicU32>,
+    requests: Arc<AtomicU32>,
+    /// The client has closed its end of a connection that the server had closed.
+    closed: Arc<Notify>,
+}
+
+/// Serves connections that answer `answers` requests each, and close at the next one or, if
+/// `closes_at_once`, right after the last answer.
+async fn serve(answers: u32, closes_at_once: bool) -> (String, Seen) {
+    let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+    let address = listener.local_addr().unwrap().to_string();
+    let seen = Seen::default();
+    let counts = seen.clone();
+    tokio::spawn(async move {
+        while let Ok((socket, _)) = listener.accept().await {
+            counts.connections.fetch_add(1, Ordering::SeqCst);
+            tokio::spawn(answer(socket, answers, closes_at_once, counts.clone()));
+        }
+    });
+    (address, seen)
+}
+
+async fn answer(mut socket: TcpStream, answers: u32, closes_at_once: bool, seen: Seen) {
+    let mut buf = [0; 4096];
+    for _ in 0..answers {
+        if socket.read(&mut buf).await.unwrap_or(0) == 0 {
+            return;
+        }
+        seen.requests.fetch_add(1, Ordering::SeqCst);
+        if socket.write_all(ANSWER).await.is_err() {
+            return;
+        }
+    }
+    if closes_at_once {
+        socket.shutdown().await.unwrap();
+    }
+    if socket.read(&mut buf).await.unwrap_or(0) > 0 {
+        seen.requests.fetch_add(1, Ordering::SeqCst);
+    } else if closes_at_once {
+        seen.closed.notify_one();
+    }
+}
+
+async fn get(client: &Client, address: &str) -> Result<String, HttpError> {
+    let call = Call::new(Method::GET, address, "/path");
+    client.send(call, LIMIT).await.map(|answer| answer.text())
+}
+
+#[tokio::test]
+async fn a_connection_is_used_again_after_a_whole_answer() {
+    let (address, seen) = serve(3, false).await;
+    let client = Client::default();
+    for _ in 0..3 {
+        assert_eq!(get(&client, &address).await.unwrap(), "ok");
+    }
+    assert_eq!(seen.connections.load(Ordering::SeqCst), 1);
+}
+
+#[tokio::test]
+async fn a_connection_that_was_closed_at_rest_costs_no_request() {
+    let (address, seen) = serve(1, true).await;
+    let client = Client::default();
+    for _ in 0..20 {
+        assert_eq!(get(&client, &address).await.unwrap(), "ok");
+        seen.closed.notified().await;
+    }
+    assert_eq!(seen.requests.load(Ordering::SeqCst), 20);
+}
+
+#[tokio::test]
+async fn a_request_that_may_have_been_read_is_never_sent_again() {
+    let (address, seen) = serve(1, false).await;
+    let client = Client::default();
+    assert_eq!(get(&client, &address).await.unwrap(), "ok");
+    let lost = get(&client, &address).await;
+    assert!(matches!(lost, Err(HttpError::Broken(_))), "{lost:?}");
+    assert_eq!(seen.requests.load(Ordering::SeqCst), 2);
+    assert_eq!(seen.connections.load(Ordering::SeqCst), 1);
+}
+
+#[tokio::test]
+async fn an_address_where_nobody_listens_is_told_apart() {
+    let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+    let address = listener.local_addr().unwrap().to_string();
+    drop(listener);
+    let refused = get(&Client::default(), &address).await;
+    assert!(matches!(refused, Err(HttpError::Connect(_))), "{refused:?}");
+}
