--- a/src/cli/platform.rs
+++ b/src/cli/platform.rs
@@ -1,13 +1,14 @@
-//! The command line's own way to the platform's object API.
+//! The operators' commands and the platform's object API: calls are tried again for a while, since a person
+//! waits.
 
 use std::time::Duration;
 
-use gotham::hyper::{Method, StatusCode};
+use gotham::hyper::StatusCode;
 
 use crate::cli::CliError;
-use crate::http::{Call, Client};
-use crate::keyed::daemon::platform::{object_path, version_of};
-use crate::keyed::node::action::Expect;
+use crate::http::Client;
+use crate::keyed::node::action::{Expect, PlatformOp};
+use crate::keyed::object_api::{ObjectApi, version_of};
 
 /// How long one call may take.
 const CALL_LIMIT: Duration = Duration::from_secs(2);
@@ -30,8 +31,7 @@
 /// The platform's object API.
 #[derive(Debug)]
 pub struct Platform {
-    address: String,
-    client: Client,
+    api: ObjectApi,
 }
 
 impl Platform {
@@ -39,15 +39,14 @@
     #[must_use]
     pub fn new(address: &str) -> Self {
         Self {
-            address: address.to_owned(),
-            client: Client::default(),
+            api: ObjectApi::new(address, Client::default()),
         }
     }
 
     fn unreachable(&self, what: &str) -> CliError {
         CliError::Unreachable(format!(
             "the platform at {} did not answer ({what}); try again when it is back",
-            self.address
+            self.api.address()
         ))
     }
 
@@ -57,11 +56,13 @@
     ///
     /// That the platform can't be reached.
     pub async fn get(&self, name: &str) -> Result<Option<(u64, String)>, CliError> {
-        let path = object_path(name);
+        let op = PlatformOp::Get {
+            name: name.to_owned(),
+            known: None,
+        };
         let mut last = String::new();
         for _ in 0..TRIES {
-            let call = Call::new(Method::GET, &self.address, &path);
-            match self.client.send(call, CALL_LIMIT).await {
+            match self.api.send(&op, CALL_LIMIT).await {
                 Ok(answer) if answer.status == StatusCode::OK => {
                     return Ok(Some((version_of(&answer).unwrap_or(0), answer.text())));
                 }
@@ -76,13 +77,12 @@
 
     /// Writes an object once.
     pub async fn put(&self, name: &str, expect: Expect, value: &str) -> Written {
-        let path = object_path(name);
-        let call = Call::new(Method::PUT, &self.address, &path).body(value.to_owned());
-        let call = match expect {
-            Expect::Absent => call.header("if-none-match", "*"),
-            Expect::Version(version) => call.header("if-match", format!("\"{version}\"")),
+        let op = PlatformOp::Put {
+            name: name.to_owned(),
+            expect,
+            value: value.to_owned(),
         };
-        match self.client.send(call, CALL_LIMIT).await {
+        match self.api.send(&op, CALL_LIMIT).await {
             Ok(answer) if answer.status.is_success() => Written::Yes,
             Ok(answer) if answer.status == StatusCode::PRECONDITION_FAILED => Written::Conflict,
             Ok(_) | Err(_) => Written::Unknown,
--- a/src/keyed/daemon.rs
+++ b/src/keyed/daemon.rs
@@ -26,6 +26,7 @@
 use crate::keyed::bundle::Bundle;
 use crate::keyed::node::Node;
 use crate::keyed::node::config::NodeConfig;
+use crate::keyed::object_api::ObjectApi;
 use crate::keyed::settings::Settings;
 use crate::keyed::timeline::Timeline;
 use crate::listen::{DaemonError, listen, listen_udp};
@@ -54,6 +55,8 @@
     pub inputs: mpsc::Sender<Input>,
     /// The HTTP client.
     pub client: Client,
+    /// The platform's object API.
+    pub platform: ObjectApi,
 }
 
 impl Shared {
@@ -124,14 +127,16 @@
         .map_err(DaemonError::Threads)?;
     let listeners = runtime.block_on(Listeners::bind(&settings))?;
     let (inputs, received) = mpsc::channel(INPUT_CAPACITY);
+    let client = Client::default();
     let shared = Shared {
         timeline: Arc::new(Timeline::new(&settings.box_id, settings.timeline_events)),
+        platform: ObjectApi::new(&settings.platform.to_string(), client.clone()),
         settings: Arc::new(settings),
         clock: Monotonic::start(),
         metrics: Arc::new(Metrics::new()),
         bundle: Arc::new(RwLock::new(None)),
         inputs,
-        client: Client::default(),
+        client,
     };
     let node = new_node(&shared);
     let heartbeats = Arc::new(listeners.heartbeats);
--- a/src/keyed/daemon/fetch.rs
+++ b/src/keyed/daemon/fetch.rs
@@ -4,15 +4,14 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use gotham::hyper::{Method, StatusCode};
+use gotham::hyper::StatusCode;
 
-use crate::http::Call;
 use crate::keyed::bundle::parts::{content_hash, join};
 use crate::keyed::bundle::sign::verify;
 use crate::keyed::bundle::{Bundle, SignedBundle};
 use crate::keyed::daemon::Shared;
 use crate::keyed::daemon::input::Input;
-use crate::keyed::daemon::platform::object_path;
+use crate::keyed::node::action::PlatformOp;
 use crate::keyed::node::event::Event;
 use crate::schema::{BundleMark, Manifest, SignedManifest};
 
@@ -65,12 +64,13 @@
 }
 
 async fn get(name: &str, shared: &Shared) -> Result<String, String> {
-    let address = shared.settings.platform.to_string();
-    let path = object_path(name);
-    let call = Call::new(Method::GET, &address, &path);
+    let op = PlatformOp::Get {
+        name: name.to_owned(),
+        known: None,
+    };
     let answer = shared
-        .client
-        .send(call, PART_LIMIT)
+        .platform
+        .send(&op, PART_LIMIT)
         .await
         .map_err(|e| format!("{name}: {e}"))?;
     shared
