--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -1,12 +1,11 @@
 //! The laboratory's command line.
 
+use std::ffi::OsString;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::time::Duration;
 
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
-use magpiemoor::keyed::settings::Settings;
-use magpiemoor::settings::file;
 use magpiemoor_lab::keyed::engine::{self, Engine};
 use magpiemoor_lab::keyed::platform::Platform;
 use magpiemoor_lab::keyed::service::Service;
@@ -170,11 +169,9 @@
 }
 
 fn run_gateway(matches: &ArgMatches) -> Result<bool, String> {
-    let path = matches
-        .get_one::<PathBuf>("settings")
-        .ok_or("no settings file")?;
+    let path = settings_path(matches)?;
     let program = "magpiemoor-platform".into();
-    let code = magpiemoor_platform::command::run([program, "--settings".into(), path.into()]);
+    let code = magpiemoor_platform::command::run([program, "--settings".into(), path]);
     Ok(code == ExitCode::SUCCESS)
 }
 
@@ -207,18 +204,15 @@
 }
 
 fn run_box(matches: &ArgMatches) -> Result<bool, String> {
-    let path = matches
-        .get_one::<PathBuf>("settings")
-        .ok_or("no settings file")?;
-    let settings = file::read(path)
-        .and_then(Settings::try_from)
-        .map_err(|errors| {
-            let texts: Vec<String> = errors.iter().map(ToString::to_string).collect();
-            texts.join("; ")
-        })?;
-    magpiemoor::logs::start(settings.log_file.as_deref(), settings.log_level)?;
-    magpiemoor::keyed::daemon::run(settings).map_err(|e| e.to_string())?;
-    Ok(true)
+    let path = settings_path(matches)?;
+    let code = magpiemoor::keyed::command::run(["magpiemoord".into(), "--settings".into(), path]);
+    Ok(code == ExitCode::SUCCESS)
+}
+
+fn settings_path(matches: &ArgMatches) -> Result<OsString, String> {
+    let path = matches.get_one::<PathBuf>("settings");
+    path.map(Into::into)
+        .ok_or_else(|| "no settings file; name one".to_owned())
 }
 
 fn run_stand_in(kind: &str, matches: &ArgMatches) -> Result<bool, String> {
--- a/src/cli/bundle.rs
+++ b/src/cli/bundle.rs
@@ -11,15 +11,13 @@
 use crate::cli::{CliError, Output, block_on};
 use crate::http::Client;
 use crate::keyed::bundle::check::parse;
+use crate::keyed::bundle::objects::{POINTER, manifest_name, part_name};
 use crate::keyed::bundle::parts::{content_hash, join, split};
 use crate::keyed::bundle::sign::{new_key, parse_signing_key, public_hex, sign, unsigned};
 use crate::keyed::bundle::{BundleError, SignedBundle};
-use crate::keyed::daemon::fetch::{manifest_name, part_name};
 use crate::keyed::node::action::Expect;
 use crate::schema::{BundleMark, BundlePointer, KeyId, Manifest};
 
-/// The name of the object that names the accepted bundle.
-const POINTER: &str = "bundle/current";
 /// How often a roll is tried.
 const ROLL_TRIES: u32 = 20;
 /// The wait between two tries.
--- a/src/cli/platform.rs
+++ b/src/cli/platform.rs
@@ -11,7 +11,7 @@
 use crate::keyed::object_api::{ObjectApi, version_of};
 
 /// How long one call may take.
-const CALL_LIMIT: Duration = Duration::from_secs(2);
+const OPERATOR_CALL_LIMIT: Duration = Duration::from_secs(2);
 /// How often a call is tried that the platform didn't answer or asked to put off.
 const TRIES: u32 = 5;
 /// The wait between two tries.
@@ -62,7 +62,7 @@
         };
         let mut last = String::new();
         for _ in 0..TRIES {
-            match self.api.send(&op, CALL_LIMIT).await {
+            match self.api.send(&op, OPERATOR_CALL_LIMIT).await {
                 Ok(answer) if answer.status == StatusCode::OK => {
                     return Ok(Some((version_of(&answer).unwrap_or(0), answer.text())));
                 }
@@ -82,7 +82,7 @@
             expect,
             value: value.to_owned(),
         };
-        match self.api.send(&op, CALL_LIMIT).await {
+        match self.api.send(&op, OPERATOR_CALL_LIMIT).await {
             Ok(answer) if answer.status.is_success() => Written::Yes,
             Ok(answer) if answer.status == StatusCode::PRECONDITION_FAILED => Written::Conflict,
             Ok(_) | Err(_) => Written::Unknown,
--- a/src/gateway/dispatch/event.rs
+++ b/src/gateway/dispatch/event.rs
@@ -107,6 +107,9 @@
     OtherInstance(Option<EndpointId>),
 }
 
+/// The least status of an answer that tells of a fault of the endpoint.
+pub const LEAST_ERROR_STATUS: u16 = 500;
+
 /// How one sending to an endpoint ended.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Outcome {
--- a/src/gateway/dispatch/fleet/losses.rs
+++ b/src/gateway/dispatch/fleet/losses.rs
@@ -9,6 +9,7 @@
 use std::time::Duration;
 
 use super::{Endpoint, FAILURE_SHARE, Fleet};
+use crate::backoff::doubled;
 use crate::gateway::dispatch::event::EndpointSpec;
 use crate::schema::{DomainId, EndpointId, Micros, ServiceId};
 
@@ -16,6 +17,8 @@
 const FIRST_AVOIDANCE: Duration = Duration::from_millis(800);
 /// The longest time that an endpoint is avoided.
 const LONGEST_AVOIDANCE: Duration = Duration::from_secs(6);
+/// Failures in a row after which the avoidance grows no more.
+const MOST_AVOIDANCE_DOUBLINGS: u32 = 4;
 /// Losses in one failure domain that tell of a loss of the domain.
 const DOMAIN_LOSSES: usize = 2;
 /// The time within which these losses must lie, and for which the domain is then avoided.
@@ -138,9 +141,9 @@
         if endpoint.is_avoided(now) {
             return;
         }
-        let doubled = FIRST_AVOIDANCE * 2_u32.pow(endpoint.failures.min(4));
+        let avoidance = doubled(FIRST_AVOIDANCE, endpoint.failures, MOST_AVOIDANCE_DOUBLINGS);
         endpoint.failures += 1;
-        endpoint.avoided_until = now.after(doubled.min(LONGEST_AVOIDANCE));
+        endpoint.avoided_until = now.after(avoidance.min(LONGEST_AVOIDANCE));
         self.note_loss(id, now, true);
     }
 
--- a/src/gateway/dispatch/outcomes.rs
+++ b/src/gateway/dispatch/outcomes.rs
@@ -2,14 +2,13 @@
 
 use super::Dispatcher;
 use super::action::{Action, Command, RefusalReason};
-use super::event::{EndpointSpec, Fault, NotRunCause, Outcome, RequestNumber, Try};
+use super::event::{
+    EndpointSpec, Fault, LEAST_ERROR_STATUS, NotRunCause, Outcome, RequestNumber, Try,
+};
 use super::record::Record;
 use super::request::{Request, Running, outcome_word};
 use crate::schema::EndpointId;
 
-/// The least status that tells of a fault of the endpoint.
-const SERVER_ERROR: u16 = 500;
-
 impl Dispatcher {
     pub(super) fn on_caller_gone(&mut self, number: RequestNumber) {
         self.held_back.retain(|held| held.number != number);
@@ -177,7 +176,7 @@
     }
 
     fn on_answered(&mut self, number: RequestNumber, running: &Running, status: u16) {
-        if status < SERVER_ERROR {
+        if status < LEAST_ERROR_STATUS {
             self.fleet.on_success(&running.endpoint, self.now);
             self.finish(number, Command::Deliver);
             return;
--- a/src/gateway/dispatch/placement.rs
+++ b/src/gateway/dispatch/placement.rs
@@ -201,7 +201,7 @@
 }
 
 /// How long to wait for a connection before another endpoint is better.
-pub const CONNECT_LIMIT: Duration = Duration::from_millis(120);
+pub const ATTEMPT_CONNECT_LIMIT: Duration = Duration::from_millis(120);
 /// How many endpoints are asked for a prompt.
 const MOST_ASKED: usize = 24;
 /// How many of them are of the own failure domain, if that has so many.
--- a/src/gateway/dispatch/sending.rs
+++ b/src/gateway/dispatch/sending.rs
@@ -6,7 +6,7 @@
 use super::action::{BackupAt, Command, Refusal, RefusalReason, Sending};
 use super::copies::first_look;
 use super::event::{RequestNumber, Tokens, Try};
-use super::placement::{CONNECT_LIMIT, Demand};
+use super::placement::{ATTEMPT_CONNECT_LIMIT, Demand};
 use super::record::Record;
 use super::request::{Request, Running};
 use crate::schema::{EndpointId, Micros};
@@ -20,9 +20,9 @@
 /// When to come back after no endpoint was found.
 const RETRY_NO_ENDPOINT: Duration = Duration::from_millis(300);
 /// How long a connection may have rested for a request that runs at most once.
-const ONCE_REST: Duration = Duration::from_millis(700);
+const LONGEST_REST_ONCE: Duration = Duration::from_millis(700);
 /// How long a connection may have rested for other requests.
-const LONGEST_REST: Duration = Duration::from_secs(4);
+const LONGEST_REST_REPEATABLE: Duration = Duration::from_secs(4);
 /// The least time for which sending a request is worth it.
 const LEAST_TIME: Duration = Duration::from_millis(5);
 /// Sendings after which a request is given up, whatever came of them.
@@ -88,7 +88,7 @@
             after_event: request.last_event,
             backup_to: backup.as_ref().map(|(_, address)| *address),
             resume_from: copy.cloned(),
-            connect_limit: CONNECT_LIMIT,
+            connect_limit: ATTEMPT_CONNECT_LIMIT,
             longest_rest: longest_rest(request),
         };
         let record = Record::Sent {
@@ -268,9 +268,9 @@
 
 fn longest_rest(request: &Request) -> Duration {
     if request.route.kind.may_repeat() {
-        LONGEST_REST
+        LONGEST_REST_REPEATABLE
     } else {
-        ONCE_REST
+        LONGEST_REST_ONCE
     }
 }
 
--- a/src/gateway/explain.rs
+++ b/src/gateway/explain.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::gateway::dispatch::action::RefusalReason;
-use crate::gateway::dispatch::event::Fault;
+use crate::gateway::dispatch::event::{Fault, LEAST_ERROR_STATUS};
 use crate::gateway::dispatch::record::Record;
 use crate::schema::HybridTime;
 
@@ -154,16 +154,13 @@
     stories.collect()
 }
 
-/// The least status that tells of a fault of the endpoint.
-const SERVER_ERROR: u16 = 500;
-
 fn cause(lines: &[TimedLine]) -> Cause {
     let last_status = lines.iter().rev().find_map(|line| match &line.line.record {
         Record::Ended { status, .. } => Some(*status),
         _ => None,
     });
     let end = lines.iter().rev().find_map(|line| match &line.line.record {
-        Record::Answered { .. } if last_status.is_some_and(|s| s >= SERVER_ERROR) => {
+        Record::Answered { .. } if last_status.is_some_and(|s| s >= LEAST_ERROR_STATUS) => {
             Some(Cause::EndpointError)
         }
         Record::Answered { .. } => Some(Cause::Answered),
--- a/src/gateway/shell.rs
+++ b/src/gateway/shell.rs
@@ -43,10 +43,10 @@
 pub use shared::GatewayShared;
 
 /// How many inputs may wait for the control thread before senders wait.
-const INPUT_CAPACITY: usize = 16_384;
+const DISPATCHER_INPUTS: usize = 16_384;
 /// How long a connection to an endpoint may rest before it is closed. Chosen a little longer than any attempt
 /// may reuse one, not measured.
-const LONGEST_REST: std::time::Duration = std::time::Duration::from_secs(5);
+const REST_BEFORE_CLOSE: std::time::Duration = std::time::Duration::from_secs(5);
 /// How long a connection may rest before there is a configuration.
 const UNCONFIGURED_IDLE: std::time::Duration = std::time::Duration::from_secs(15);
 
@@ -92,7 +92,7 @@
         .build()
         .map_err(DaemonError::Threads)?;
     let listeners = runtime.block_on(Listeners::bind(&settings))?;
-    let (inputs, received) = mpsc::channel(INPUT_CAPACITY);
+    let (inputs, received) = mpsc::channel(DISPATCHER_INPUTS);
     let shared = GatewayShared::start(settings, dialect, inputs)?;
     let gossip = Arc::new(listeners.gossip);
     let dispatcher = new_dispatcher(&shared);
@@ -108,7 +108,10 @@
     runtime.spawn(crate::http::serve(listeners.metrics, operators));
     runtime.spawn(store::follow(Source::Table, shared.clone()));
     runtime.spawn(store::follow(Source::Endpoints, shared.clone()));
-    runtime.spawn(pool::sweep_resting(Arc::clone(&shared.pool), LONGEST_REST));
+    runtime.spawn(pool::sweep_resting(
+        Arc::clone(&shared.pool),
+        REST_BEFORE_CLOSE,
+    ));
     runtime.spawn(stop::stop_on_signal(shared.clone()));
     runtime.spawn(stop::reload_on_change(file, shared.clone()));
     let control = Control::new(dispatcher, shared, runtime.handle().clone(), gossip);
--- a/src/gateway/shell/copies.rs
+++ b/src/gateway/shell/copies.rs
@@ -15,7 +15,7 @@
 use crate::schema::EndpointId;
 
 /// How long a connection may have rested.
-const LONGEST_REST: Duration = Duration::from_secs(4);
+const COPY_CONNECTION_REST: Duration = Duration::from_secs(4);
 /// How long an engine may take to drop a copy.
 const DROP_LIMIT: Duration = Duration::from_millis(300);
 
@@ -77,7 +77,7 @@
     limit: Duration,
     shared: &GatewayShared,
 ) -> Option<Bytes> {
-    let mut connection = match shared.pool.take(address, LONGEST_REST) {
+    let mut connection = match shared.pool.take(address, COPY_CONNECTION_REST) {
         Some(connection) => connection,
         None => Pool::connect(address, limit).await.ok()?,
     };
--- a/src/gateway/shell/exchange.rs
+++ b/src/gateway/shell/exchange.rs
@@ -21,13 +21,11 @@
 use crate::gateway::shell::input::Input;
 use crate::gateway::shell::sending::{CallerRequest, Held, hold, open};
 use crate::gateway::shell::{GatewayShared, headers};
-use crate::http;
 use crate::http::pool::Connection;
+use crate::http::{self, EVENT_STREAM};
 
 /// How many events wait for a slow caller before the engine is read no further.
 const EVENTS_WAITING: usize = 20;
-/// The content type of a stream of events.
-const EVENT_STREAM: &str = "text/event-stream";
 
 /// A part of a stream on its way to the caller.
 #[derive(Debug)]
--- a/src/gateway/shell/peers.rs
+++ b/src/gateway/shell/peers.rs
@@ -30,7 +30,7 @@
 /// The longest message by TCP.
 const LONGEST_MESSAGE: u32 = 16 << 20;
 /// How long a connection to another box may take.
-const CONNECT_LIMIT: Duration = Duration::from_millis(300);
+const FETCH_CONNECT_LIMIT: Duration = Duration::from_millis(300);
 /// How many peers are sent endpoints at once; others are turned away and ask somebody else.
 const MOST_LISTS: usize = 3;
 
@@ -115,7 +115,7 @@
 }
 
 async fn ask(from: SocketAddr, wanted: &StateRequest) -> std::io::Result<StateReply> {
-    let connecting = tokio::time::timeout(CONNECT_LIMIT, TcpStream::connect(from));
+    let connecting = tokio::time::timeout(FETCH_CONNECT_LIMIT, TcpStream::connect(from));
     let mut socket = connecting.await??;
     write(&mut socket, wanted).await?;
     read(&mut socket).await
--- a/src/gateway/shell/store.rs
+++ b/src/gateway/shell/store.rs
@@ -7,6 +7,7 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
+use crate::backoff::doubled;
 use crate::gateway::dispatch::event::{EndpointChange, Event};
 use crate::gateway::dispatch::record::Record;
 use crate::gateway::shell::GatewayShared;
@@ -22,9 +23,9 @@
 /// How long a list may take at first; longer after each failure.
 const LIST_LIMIT: Duration = Duration::from_millis(500);
 /// How often that is doubled at the most.
-const MOST_DOUBLINGS: u32 = 3;
+const MOST_LIST_DOUBLINGS: u32 = 3;
 /// How long a connection may take.
-const CONNECT_LIMIT: Duration = Duration::from_millis(500);
+const STORE_CONNECT_LIMIT: Duration = Duration::from_millis(500);
 /// How much longer than asked for a watch may take.
 const WATCH_SLACK: Duration = Duration::from_millis(700);
 
@@ -89,7 +90,7 @@
     async fn ask(&mut self, source: Source, step: &Step, shared: &GatewayShared) -> StepAnswer {
         let dialect = &shared.dialect;
         let watch = shared.settings.watch;
-        let patience = LIST_LIMIT * 2_u32.pow(self.failures.min(MOST_DOUBLINGS));
+        let patience = doubled(LIST_LIMIT, self.failures, MOST_LIST_DOUBLINGS);
         let (path, limit, is_watch) = match step {
             Step::List { after } => (dialect.list_path(source, after.as_deref()), patience, false),
             Step::Watch { at } => (
@@ -131,7 +132,7 @@
         let address = shared.settings.platform;
         let mut connection = match self.connection.take() {
             Some(kept) => kept,
-            None => Pool::connect(address, CONNECT_LIMIT).await.ok()?,
+            None => Pool::connect(address, STORE_CONNECT_LIMIT).await.ok()?,
         };
         let (status, body) = connection.get(path).await?;
         self.connection = Some(connection);
--- a/src/gateway/shell/watcher.rs
+++ b/src/gateway/shell/watcher.rs
@@ -7,14 +7,17 @@
 
 use rand::Rng;
 
+use crate::backoff::Backoff;
 use crate::gateway::shell::dialect::{Entry, Page};
 
-/// The pause after the first failure.
-const FIRST_PAUSE: Duration = Duration::from_millis(50);
-/// The longest pause.
-const LONGEST_PAUSE: Duration = Duration::from_millis(800);
-/// Failures after which the pause grows no more.
-const MOST_DOUBLINGS: u32 = 6;
+/// Pauses after failures. Without them a 404 was asked again at once: 65,493 calls in 34 s on the first design's
+/// trial (docs/FINDINGS.md). The figures are chosen, not measured.
+const STORE_BACKOFF: Backoff = Backoff {
+    first: Duration::from_millis(50),
+    longest: Duration::from_millis(800),
+    most_doublings: 6,
+    jitter: 0.5..1.0,
+};
 
 /// What to ask next.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -135,13 +138,8 @@
     }
 
     fn failed(&mut self, rng: &mut impl Rng) -> Next {
-        let doubled = FIRST_PAUSE * 2_u32.pow(self.failures.min(MOST_DOUBLINGS));
+        let pause = STORE_BACKOFF.pause(self.failures, rng);
         self.failures += 1;
-        Next {
-            news: None,
-            pause: doubled
-                .min(LONGEST_PAUSE)
-                .mul_f64(rng.random_range(0.5..1.0)),
-        }
+        Next { news: None, pause }
     }
 }
--- a/src/http.rs
+++ b/src/http.rs
@@ -10,5 +10,6 @@
 
 pub use client::{Answer, AnswerBody, Call, Client, HttpError};
 pub use server::{
-    BodyError, ServeOptions, full, read_body, respond, respond_json, serve, serve_with, streaming,
+    BodyError, EVENT_STREAM, ServeOptions, full, read_body, respond, respond_json, serve,
+    serve_with, streaming,
 };
--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -19,9 +19,9 @@
 use super::pool::{Connection, Pool, SendError};
 
 /// How long a connection attempt may take. Chosen, not measured.
-const CONNECT_LIMIT: Duration = Duration::from_millis(500);
+const CALL_CONNECT_LIMIT: Duration = Duration::from_millis(500);
 /// How long a connection may have rested that is used again. Chosen, not measured.
-const LONGEST_REST: Duration = Duration::from_secs(20);
+const REUSED_WITHIN: Duration = Duration::from_secs(20);
 /// How many connections to one address are kept at rest: about as many as an engine has streams.
 const KEPT_PER_ADDRESS: usize = 256;
 /// The greatest answer that is read whole, in bytes: a part of a bundle is a megabyte at the most.
@@ -175,7 +175,7 @@
         request: Request<Full<Bytes>>,
     ) -> Result<Response<AnswerBody>, HttpError> {
         let address = resolve(address).await?;
-        if let Some(mut rested) = self.pool.take(address, LONGEST_REST) {
+        if let Some(mut rested) = self.pool.take(address, REUSED_WITHIN) {
             match rested.send(request.clone()).await {
                 Ok(response) => return Ok(self.keep(response, rested)),
                 // The peer had closed it; no byte was written.
@@ -183,7 +183,7 @@
                 Err(e) => return Err(HttpError::Broken(e.to_string())),
             }
         }
-        let mut fresh = Pool::connect(address, CONNECT_LIMIT)
+        let mut fresh = Pool::connect(address, CALL_CONNECT_LIMIT)
             .await
             .map_err(|e| HttpError::Connect(e.to_string()))?;
         match fresh.send(request).await {
@@ -228,7 +228,7 @@
 
     /// Closes connections that have rested for long, for as long as the future is polled.
     pub async fn sweep_resting(self) {
-        super::pool::sweep_resting(self.pool, LONGEST_REST).await;
+        super::pool::sweep_resting(self.pool, REUSED_WITHIN).await;
     }
 }
 
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -29,6 +29,8 @@
 const LEAST_HEAD_BYTES: usize = 8 << 10;
 /// How long a caller may take to send its request's body. Chosen, not measured.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
+/// The media type of server-sent events.
+pub const EVENT_STREAM: &str = "text/event-stream";
 /// How many connections one listener serves at once. Chosen, not measured.
 const MAX_CONNECTIONS: usize = 8_192;
 /// The pause after a connection could not be accepted, for which the reason is mostly a lack of
--- a/src/keyed.rs
+++ b/src/keyed.rs
@@ -6,6 +6,7 @@
 //! platform's objects; [`timeline`] keeps the events of a process. The users' machines run the other form, [`crate::gateway`].
 
 pub mod bundle;
+pub mod command;
 pub mod daemon;
 pub mod digest;
 pub mod node;
--- a/src/keyed/bundle.rs
+++ b/src/keyed/bundle.rs
@@ -4,6 +4,7 @@
 //! that a change moves only the parts it touches; a manifest names the parts and is signed.
 
 pub mod check;
+pub mod objects;
 pub mod parts;
 pub mod sign;
 
--- a/src/keyed/settings/args.rs
+++ b/src/keyed/command.rs
@@ -1,10 +1,19 @@
-//! The command line of the daemon.
+//! The command line of `magpiemoord`: reads the settings, starts logging, and runs the daemon.
 
+use std::ffi::OsString;
 use std::path::PathBuf;
+use std::process::ExitCode;
 
 use clap::{Arg, ArgMatches, Command, value_parser};
 
+use crate::keyed::daemon;
+use crate::keyed::settings::{Settings, overlay};
+use crate::logs;
 use crate::schema::SettingsFile;
+use crate::settings::{SettingsError, file};
+
+/// The exit code for settings or a log that can't be used.
+const BAD_SETTINGS: u8 = 2;
 
 /// Builds the daemon's command line.
 #[must_use]
@@ -56,3 +65,36 @@
         ..SettingsFile::default()
     }
 }
+
+/// Runs the daemon with these arguments until it has stopped.
+pub fn run(arguments: impl IntoIterator<Item = OsString>) -> ExitCode {
+    let matches = command().get_matches_from(arguments);
+    let settings = match read_settings(&matches) {
+        Ok(settings) => settings,
+        Err(errors) => {
+            for e in errors {
+                eprintln!("magpiemoord: {e}");
+            }
+            return ExitCode::from(BAD_SETTINGS);
+        }
+    };
+    if let Err(e) = logs::start(settings.log_file.as_deref(), settings.log_level) {
+        eprintln!("magpiemoord: {e}");
+        return ExitCode::from(BAD_SETTINGS);
+    }
+    match daemon::run(settings) {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(e) => {
+            log::error!("{e}");
+            ExitCode::FAILURE
+        }
+    }
+}
+
+fn read_settings(matches: &ArgMatches) -> Result<Settings, Vec<SettingsError>> {
+    let written = match matches.get_one::<PathBuf>("settings") {
+        Some(path) => file::read(path)?,
+        None => SettingsFile::default(),
+    };
+    Settings::try_from(overlay(overrides(matches), written))
+}
--- a/src/keyed/daemon.rs
+++ b/src/keyed/daemon.rs
@@ -36,7 +36,7 @@
 use metrics::Metrics;
 
 /// How many inputs may wait for the control thread before senders wait.
-const INPUT_CAPACITY: usize = 65_536;
+const NODE_INPUTS: usize = 65_536;
 
 /// What all parts of the daemon share.
 #[derive(Clone)]
@@ -126,7 +126,7 @@
         .build()
         .map_err(DaemonError::Threads)?;
     let listeners = runtime.block_on(Listeners::bind(&settings))?;
-    let (inputs, received) = mpsc::channel(INPUT_CAPACITY);
+    let (inputs, received) = mpsc::channel(NODE_INPUTS);
     let client = Client::default();
     let shared = Shared {
         timeline: Arc::new(Timeline::new(&settings.box_id, settings.timeline_events)),
--- a/src/keyed/daemon/callers/stream.rs
+++ b/src/keyed/daemon/callers/stream.rs
@@ -9,7 +9,7 @@
 use serde_json::json;
 use tokio::sync::mpsc;
 
-use crate::http;
+use crate::http::{self, EVENT_STREAM};
 use crate::keyed::daemon::Shared;
 use crate::keyed::daemon::callers::parse::event_id;
 use crate::keyed::daemon::callers::problem::Problem;
@@ -18,9 +18,6 @@
 use crate::keyed::node::event::{CallerEvent, Event};
 use crate::schema::{Finish, Ran, RequestKey, Token};
 
-/// The media type of server-sent events.
-const EVENT_STREAM: &str = "text/event-stream";
-
 /// Tells the control thread when a caller has gone before its answer ended.
 pub struct CallerGuard {
     connection: u64,
--- a/src/keyed/daemon/fetch.rs
+++ b/src/keyed/daemon/fetch.rs
@@ -6,6 +6,7 @@
 
 use gotham::hyper::StatusCode;
 
+use crate::keyed::bundle::objects::{manifest_name, part_name};
 use crate::keyed::bundle::parts::{content_hash, join};
 use crate::keyed::bundle::sign::verify;
 use crate::keyed::bundle::{Bundle, SignedBundle};
@@ -21,18 +22,6 @@
 /// The parts of the bundle that was fetched last, which the next one mostly shares.
 pub type PartCache = Arc<Mutex<BTreeMap<String, String>>>;
 
-/// The name of a manifest's object in the platform.
-#[must_use]
-pub fn manifest_name(hash: &str) -> String {
-    format!("bundles/manifests/{hash}")
-}
-
-/// The name of a part's object in the platform.
-#[must_use]
-pub fn part_name(hash: &str) -> String {
-    format!("bundles/parts/{hash}")
-}
-
 /// Fetches and checks a bundle and tells the control thread what came of it.
 pub async fn fetch(
     mark: BundleMark,
--- a/src/keyed/daemon/peers.rs
+++ b/src/keyed/daemon/peers.rs
@@ -31,7 +31,7 @@
 /// How many messages may wait for one box.
 const QUEUE: usize = 16_384;
 /// How long a connection attempt may take.
-const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+const PEER_CONNECT_LIMIT: Duration = Duration::from_millis(500);
 /// How long a write may make no progress.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Bytes that are gathered into one write.
@@ -218,7 +218,7 @@
 }
 
 async fn write_messages(to: Member, mut frames: mpsc::Receiver<Vec<u8>>, shared: Shared) {
-    let connected = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(&to.address)).await;
+    let connected = tokio::time::timeout(PEER_CONNECT_LIMIT, TcpStream::connect(&to.address)).await;
     if let Ok(Ok(socket)) = connected {
         let _ = socket.set_nodelay(true);
         let (reader, writer) = socket.into_split();
--- a/src/keyed/daemon/platform.rs
+++ b/src/keyed/daemon/platform.rs
@@ -10,7 +10,7 @@
 
 /// How long the platform may take to answer a call: it answers in milliseconds when it is well. Chosen, not
 /// measured.
-const CALL_LIMIT: Duration = Duration::from_secs(1);
+const NODE_CALL_LIMIT: Duration = Duration::from_secs(1);
 /// How long a watch may take all in all.
 const WATCH_LIMIT: Duration = Duration::from_millis(WATCH_MS + 2_000);
 
@@ -26,7 +26,7 @@
 async fn ask(op: &PlatformOp, shared: &Shared) -> PlatformAnswer {
     let limit = match op {
         PlatformOp::Watch { .. } => WATCH_LIMIT,
-        _ => CALL_LIMIT,
+        _ => NODE_CALL_LIMIT,
     };
     match shared.platform.send(op, limit).await {
         Ok(answer) => {
--- a/src/keyed/node/admission.rs
+++ b/src/keyed/node/admission.rs
@@ -12,7 +12,7 @@
 use crate::schema::{Micros, ModelId, OrganisationId, Priority, RequestKey, ServiceId};
 
 /// How fast the service rate follows new measurements.
-const RATE_WEIGHT: f64 = 0.1;
+const SPACING_WEIGHT: f64 = 0.1;
 /// The part of a queue, as a divisor, from which on organisations are held to their shares, so that
 /// who has more than its share is refused at once, not after it has waited.
 const CROWDED_PART: usize = 2;
@@ -182,7 +182,7 @@
         if let Some(last) = self.last_start {
             let spacing = now.since(last).as_secs_f64();
             let average = self.spacing.get_or_insert(spacing);
-            *average += RATE_WEIGHT * (spacing - *average);
+            *average += SPACING_WEIGHT * (spacing - *average);
         }
         self.last_start = (self.ahead(Priority::Deferrable) > 0).then_some(now);
     }
--- a/src/keyed/node/bundles.rs
+++ b/src/keyed/node/bundles.rs
@@ -8,6 +8,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use crate::keyed::bundle::objects::POINTER;
 use crate::keyed::bundle::{Bundle, SignedBundle};
 use crate::keyed::node::Node;
 use crate::keyed::node::action::{Action, PlatformOp};
@@ -19,8 +20,6 @@
     PartHash,
 };
 
-/// The name of the object that names the accepted bundle.
-pub const POINTER: &str = "bundle/current";
 /// How long a fetch may take before another one is begun.
 const FETCH_AGAIN: Duration = Duration::from_millis(500);
 /// How long a watch that ended at once is not begun again.
--- a/src/keyed/node/config.rs
+++ b/src/keyed/node/config.rs
@@ -32,7 +32,7 @@
 /// The most bytes that a group and its results may come to.
 pub const BATCH_BYTES: usize = 700_000;
 /// Bytes of result text that a token is reckoned as.
-pub const BYTES_PER_TOKEN: usize = 8;
+pub const RESULT_BYTES_PER_TOKEN: usize = 8;
 /// The most deferrable requests that a failure domain runs at once for one scribe.
 pub const DEFERRED_RUNNING: usize = 128;
 /// The most boxes that pass a request on.
--- a/src/keyed/node/deferred.rs
+++ b/src/keyed/node/deferred.rs
@@ -16,7 +16,7 @@
 use crate::keyed::node::Node;
 use crate::keyed::node::action::PlatformOp;
 use crate::keyed::node::config::{
-    BATCH_BYTES, BATCH_ITEMS, BYTES_PER_TOKEN, FLUSH_DELAY, MAX_HOPS, RETRY_AFTER,
+    BATCH_BYTES, BATCH_ITEMS, FLUSH_DELAY, MAX_HOPS, RESULT_BYTES_PER_TOKEN, RETRY_AFTER,
 };
 use crate::keyed::node::event::Timer;
 use crate::keyed::node::platform::Purpose;
@@ -123,7 +123,7 @@
 /// The most bytes that a request and its result may come to in a batch.
 fn item_bytes(request: &Request) -> usize {
     match &request.kind {
-        RequestKind::Generate(g) => g.prompt.len() + g.max_tokens as usize * BYTES_PER_TOKEN,
+        RequestKind::Generate(g) => g.prompt.len() + g.max_tokens as usize * RESULT_BYTES_PER_TOKEN,
         RequestKind::Call(call) => call.body.len(),
     }
 }
--- a/src/keyed/node/endpoints.rs
+++ b/src/keyed/node/endpoints.rs
@@ -6,6 +6,7 @@
 
 use xxhash_rust::xxh3::Xxh3Builder;
 
+use crate::backoff::doubled;
 use crate::keyed::bundle::Bundle;
 use crate::keyed::node::gaps::Gaps;
 use crate::keyed::node::prefixes::Prefixes;
@@ -31,7 +32,7 @@
 /// Gaps this many times longer than the best median count as overload.
 const OVERLOAD_GAP: u32 = 3;
 /// How fast the prefill rate follows new measurements.
-const RATE_WEIGHT: f64 = 0.2;
+const PREFILL_RATE_WEIGHT: f64 = 0.2;
 /// Prompt bytes that an engine is taken to read in a second before it was measured.
 const UNKNOWN_PREFILL_RATE: f64 = 20_000.0;
 /// How long an own sending is reckoned with on top of a load report.
@@ -140,8 +141,8 @@
         self.failures += 1;
         self.probing = false;
         if self.failures >= OUTLIER_FAILURES {
-            let doublings = (self.failures - OUTLIER_FAILURES).min(REST_DOUBLINGS);
-            self.rest_until = now.after(FIRST_REST * 2_u32.pow(doublings));
+            let beyond = self.failures - OUTLIER_FAILURES;
+            self.rest_until = now.after(doubled(FIRST_REST, beyond, REST_DOUBLINGS));
         }
     }
 
@@ -291,7 +292,7 @@
         self.all_first.record(took);
         if bytes > 0 && !took.is_zero() {
             let rate = bytes as f64 / took.as_secs_f64();
-            state.prefill_rate += RATE_WEIGHT * (rate - state.prefill_rate);
+            state.prefill_rate += PREFILL_RATE_WEIGHT * (rate - state.prefill_rate);
         }
     }
 
--- a/src/keyed/node/platform.rs
+++ b/src/keyed/node/platform.rs
@@ -5,6 +5,7 @@
 
 use std::collections::BTreeMap;
 
+use crate::backoff::doubled;
 use crate::keyed::node::Node;
 use crate::keyed::node::action::{Expect, PlatformOp};
 use crate::keyed::node::config::READS_PER_LEASE;
@@ -220,8 +221,7 @@
         let removed = std::mem::replace(&mut self.platform.listed, listed) && !listed;
         if removed && !self.stopping.is_begun() {
             self.platform.removals += 1;
-            let doublings = (self.platform.removals - 1).min(REJOIN_DOUBLINGS);
-            let wait = self.cfg.lease * 2_u32.pow(doublings);
+            let wait = doubled(self.cfg.lease, self.platform.removals - 1, REJOIN_DOUBLINGS);
             self.platform.join_after = self.now.after(wait);
             self.out.note(
                 "removed_from_roster",
--- a/src/keyed/node/retries.rs
+++ b/src/keyed/node/retries.rs
@@ -1,25 +1,30 @@
-//! Retry budgets and jittered backoff.
+//! Retry budgets that are saved up, and the backoff between retries.
 //!
 //! Every first try pays a part of a retry into the budgets of its organisation and its endpoint;
 //! a retry takes one from both. So retries stay a fixed share of the work however much fails.
+//!
+//! The gateway has another budget, [`crate::gateway::dispatch::budget`]: there the users bound the sum over
+//! all boxes in a sliding window, here each box bounds its own organisations and endpoints.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use rand::Rng;
 
+use crate::backoff::Backoff;
 use crate::schema::{EndpointId, OrganisationId};
 
 /// The most retries that a budget can save up.
 const MOST_SAVED: f64 = 10.0;
 /// What a budget starts with.
 const FIRST_GRANT: f64 = 3.0;
-/// The backoff before the first retry.
-const FIRST_BACKOFF: Duration = Duration::from_millis(20);
-/// The longest backoff.
-const LONGEST_BACKOFF: Duration = Duration::from_secs(1);
-/// Doublings after which the backoff grows no more.
-const DOUBLINGS: u32 = 6;
+/// Pauses before retries, and after calls that the platform put off. Chosen, not measured.
+const RETRY_BACKOFF: Backoff = Backoff {
+    first: Duration::from_millis(20),
+    longest: Duration::from_secs(1),
+    most_doublings: 6,
+    jitter: 0.5..1.5,
+};
 
 /// The retry budgets of all organisations and endpoints.
 #[derive(Debug, Default)]
@@ -68,10 +73,7 @@
     }
 }
 
-/// Returns how long to wait before a retry.
+/// How long to wait before the retry after so many failures.
 pub fn backoff(failures: u32, rng: &mut impl Rng) -> Duration {
-    let doubled = FIRST_BACKOFF * 2_u32.pow(failures.saturating_sub(1).min(DOUBLINGS));
-    doubled
-        .min(LONGEST_BACKOFF)
-        .mul_f64(rng.random_range(0.5..1.5))
+    RETRY_BACKOFF.pause(failures.saturating_sub(1), rng)
 }
--- a/src/keyed/node/runs.rs
+++ b/src/keyed/node/runs.rs
@@ -21,7 +21,7 @@
 /// The most runs of one generation at the same time.
 const MOST_RUNS: usize = 2;
 /// Bytes of text that an engine reads for one token of the answer.
-const BYTES_PER_TOKEN: usize = 4;
+const TEXT_BYTES_PER_TOKEN: usize = 4;
 /// Time to fetch a KV cache, whatever its size.
 const IMPORT_BASE: Duration = Duration::from_millis(30);
 /// Time to fetch the KV cache of one token.
@@ -74,7 +74,7 @@
             generation: answer.generation,
             attempt,
         };
-        let bytes = generate.prompt.len() + answer.len() * BYTES_PER_TOKEN;
+        let bytes = generate.prompt.len() + answer.len() * TEXT_BYTES_PER_TOKEN;
         let tokens = match self.cfg.recovery {
             Recovery::Restart => Vec::new(),
             Recovery::Resume | Recovery::Timeout | Recovery::Hedge => answer.tokens().to_vec(),
@@ -161,7 +161,7 @@
             avoid: &avoid,
             adapter: generate.adapter.as_ref().map(|a| (a, loaded.as_slice())),
             blocks: &blocks,
-            bytes: generate.prompt.len() + answer.len() * BYTES_PER_TOKEN,
+            bytes: generate.prompt.len() + answer.len() * TEXT_BYTES_PER_TOKEN,
             domain: &self.cfg.domain,
         };
         let routing = self.cfg.routing;
@@ -389,7 +389,9 @@
 /// Bytes that another engine has to read to go on with an answer.
 fn resume_bytes(answer: &Answer) -> usize {
     match &answer.request.kind {
-        RequestKind::Generate(generate) => generate.prompt.len() + answer.len() * BYTES_PER_TOKEN,
+        RequestKind::Generate(generate) => {
+            generate.prompt.len() + answer.len() * TEXT_BYTES_PER_TOKEN
+        }
         RequestKind::Call(_) => 0,
     }
 }
--- a/src/keyed/node/runs/silence.rs
+++ b/src/keyed/node/runs/silence.rs
@@ -1,7 +1,7 @@
 //! Notices runs that have been silent for too long, and has others go on in their place.
 
 use super::{
-    ALIVE_REPORT, BYTES_PER_TOKEN, IMPORT_BASE, IMPORT_PER_TOKEN, MOST_RUNS, resume_bytes,
+    ALIVE_REPORT, IMPORT_BASE, IMPORT_PER_TOKEN, MOST_RUNS, TEXT_BYTES_PER_TOKEN, resume_bytes,
 };
 use crate::keyed::node::Node;
 use crate::keyed::node::config::BASELINE_TIMEOUT;
@@ -124,7 +124,7 @@
         let bytes = resume_bytes(answer);
         let prefill = state.prefill(bytes).as_secs_f64();
         let per_token = IMPORT_PER_TOKEN.as_secs_f64();
-        let import = IMPORT_BASE.as_secs_f64() + (bytes / BYTES_PER_TOKEN) as f64 * per_token;
+        let import = IMPORT_BASE.as_secs_f64() + (bytes / TEXT_BYTES_PER_TOKEN) as f64 * per_token;
         let weights = &answer.bundle.policy().weights;
         let by_prefill = ResumeCost {
             latency: prefill,
--- a/src/keyed/settings.rs
+++ b/src/keyed/settings.rs
@@ -1,7 +1,6 @@
 //! The settings of an entry box of the product's own face: defaults, the settings file and the
 //! command line meet here in one checked struct.
 
-pub mod args;
 pub mod defaults;
 
 use std::net::SocketAddr;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -5,6 +5,7 @@
 //! request belongs to the box that reads it; [`keyed`] is the product's own face, where a request is
 //! known by a key. [`cli`] is what operators run. docs/ARCHITECTURE.md shows the whole.
 
+pub mod backoff;
 pub mod cli;
 pub mod clock;
 pub mod gateway;
--- a/tests/product.rs
+++ b/tests/product.rs
@@ -57,12 +57,12 @@
 #[test]
 fn the_command_line_goes_before_the_file_and_the_file_before_the_defaults() {
     let written = file::parse("{ \"lease_ms\": 5000, \"log_level\": \"warn\" }").unwrap();
-    let args = magpiemoor::keyed::settings::args::command().get_matches_from([
+    let args = magpiemoor::keyed::command::command().get_matches_from([
         "magpiemoord",
         "--log-level",
         "error",
     ]);
-    let settings = overlay(magpiemoor::keyed::settings::args::overrides(&args), written);
+    let settings = overlay(magpiemoor::keyed::command::overrides(&args), written);
     let settings = Settings::try_from(settings).unwrap();
     assert_eq!(settings.lease.as_millis(), 5_000);
     assert_eq!(settings.log_level, log::LevelFilter::Error);
