--- a/benches/decisions/gateway.rs
+++ b/benches/decisions/gateway.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use criterion::{BatchSize, BenchmarkId, Criterion, criterion_group};
-use magpiemoor::gateway::dispatch::action::Sending;
+use magpiemoor::gateway::dispatch::action::Attempt;
 use magpiemoor::gateway::dispatch::event::{EndpointSpec, Event, Fault, Outcome, RequestNumber};
 
 use crate::fixtures::{GENEROUS, STREAMS, World, endpoint, listed, table};
@@ -20,7 +20,7 @@
 /// A box with streams that run, and the attempt of each.
 struct Loaded {
     world: World,
-    streams: Vec<(RequestNumber, Sending)>,
+    streams: Vec<(RequestNumber, Attempt)>,
 }
 
 fn engines(count: usize) -> Vec<EndpointSpec> {
--- a/src/gateway/dispatch.rs
+++ b/src/gateway/dispatch.rs
@@ -8,24 +8,24 @@
 //! died comes back with the last event that it got, and any box goes on from there.
 
 pub mod action;
-pub mod budget;
 pub mod event;
 pub mod fleet;
 pub mod peers;
 pub mod placement;
-pub mod readers;
 pub mod record;
+pub mod retry_budget;
+pub mod store_watchers;
 pub mod table;
 
-mod arrivals;
-mod copies;
+mod admission;
+mod attempts;
 mod gossip;
-mod locating;
 mod outcomes;
-mod reach;
+mod prompt_search;
+mod readiness;
+mod replicas;
 mod request;
-mod sending;
-mod silence;
+mod suspicion;
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -37,16 +37,16 @@
 
 use crate::schema::{BoxId, DomainId, Incarnation, Micros};
 use action::{Action, Command};
-use arrivals::HeldBack;
-use budget::{RetryBudget, RetryPolicy};
-use event::{Event, RequestNumber, Try};
+use admission::HeldBack;
+use event::{AttemptNumber, Event, RequestNumber};
 use fleet::Fleet;
-use gossip::UsageToTell;
+use gossip::PendingUsage;
 use peers::Peers;
 use placement::Placer;
-use readers::Readers;
 use record::Record;
 use request::Request;
+use retry_budget::{RetryBudget, RetryPolicy};
+use store_watchers::StoreWatchers;
 use table::{RoutingTable, TableVersion};
 
 /// How often a box with work looks after it.
@@ -86,10 +86,10 @@
     held_back: Vec<HeldBack>,
     budget: RetryBudget,
     peers: Peers,
-    readers: Readers,
+    store_watchers: StoreWatchers,
     endpoints_at: u64,
     next_gossip: Micros,
-    usage_news: UsageToTell,
+    usage_news: PendingUsage,
     ends_at: Option<Micros>,
     is_cut_off: bool,
     actions: Vec<Action>,
@@ -111,11 +111,11 @@
             held_back: Vec::new(),
             budget: RetryBudget::new(cfg.retries),
             peers: Peers::new(cfg.me.clone(), cfg.domain.clone(), cfg.address, &cfg.seeds),
-            readers: Readers::new(cfg.me.clone(), cfg.domain.clone(), &mut rng, now),
+            store_watchers: StoreWatchers::new(cfg.me.clone(), cfg.domain.clone(), &mut rng, now),
             rng,
             endpoints_at: 0,
             next_gossip: now,
-            usage_news: UsageToTell::default(),
+            usage_news: PendingUsage::default(),
             ends_at: None,
             is_cut_off: false,
             actions: Vec::new(),
@@ -147,7 +147,7 @@
             Event::Table(table) => self.on_table(table),
             Event::EndpointsListed { specs, at } => self.on_listed(specs, at),
             Event::EndpointsChanged { changes, at } => self.on_changed(changes, at),
-            Event::StoreAnswered => self.readers.on_answer(self.now),
+            Event::StoreAnswered => self.store_watchers.on_answer(self.now),
             Event::Peer(state) => self.on_peer(&state),
             Event::PeerUsage(news) => {
                 self.fleet.on_peer_usage(&news.from, &news.usage, self.now);
@@ -159,12 +159,12 @@
             Event::Named { endpoint, instance } => self.on_named(&endpoint, &instance),
             Event::Identified(spec) => self.fleet.succeed(spec, self.now),
             Event::Located { request, endpoint } => self.on_located(request, endpoint),
-            Event::Copied {
+            Event::SnapshotTaken {
                 request,
                 attempt,
-                holder,
+                host,
                 name,
-            } => self.on_copied(request, attempt, &holder, name),
+            } => self.on_snapshot_taken(request, attempt, &host, name),
         }
         std::mem::take(&mut self.actions)
     }
@@ -172,7 +172,10 @@
     /// When [`Event::Tick`] is due next.
     #[must_use]
     pub fn next_tick(&self) -> Micros {
-        let first_decision = self.readers.first_decision().unwrap_or(self.next_gossip);
+        let first_decision = self
+            .store_watchers
+            .first_decision()
+            .unwrap_or(self.next_gossip);
         let due = self.next_gossip.min(self.usage_news.due());
         let due = due.min(first_decision);
         if self.active() == 0 {
@@ -274,8 +277,8 @@
         self.refuse_held_back();
         self.check_reach();
         self.ask_identities();
-        if let Some(is_reader) = self.readers.decide(&mut self.rng, self.now) {
-            let state = if is_reader {
+        if let Some(is_watching) = self.store_watchers.decide(&mut self.rng, self.now) {
+            let state = if is_watching {
                 "reads_store"
             } else {
                 "reads_peers"
@@ -284,19 +287,23 @@
                 state: state.into(),
                 detail: String::new(),
             });
-            self.actions.push(Action::ReadStore(is_reader));
-            if is_reader {
-                self.tell_claim();
+            self.actions.push(Action::WatchStore(is_watching));
+            if is_watching {
+                self.gossip_claim();
             }
         }
-        self.tell_usage_if_due();
+        self.gossip_usage_if_due();
         self.gossip_if_due();
     }
 
-    /// The request of a sending, if that sending is the one that runs.
-    fn running(&mut self, request: RequestNumber, attempt: Try) -> Option<&mut Request> {
+    /// The request of an attempt, if that attempt is the active one.
+    fn with_active(
+        &mut self,
+        request: RequestNumber,
+        attempt: AttemptNumber,
+    ) -> Option<&mut Request> {
         let found = self.requests.get_mut(&request)?;
-        let is_running = found.running.as_ref().is_some_and(|r| r.attempt == attempt);
-        is_running.then_some(found)
+        let is_active = found.active.as_ref().is_some_and(|a| a.attempt == attempt);
+        is_active.then_some(found)
     }
 }
--- a/src/gateway/dispatch/action.rs
+++ b/src/gateway/dispatch/action.rs
@@ -3,25 +3,25 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use crate::gateway::dispatch::event::{CopyName, EndpointSpec, RequestNumber, Try};
+use crate::gateway::dispatch::event::{AttemptNumber, EndpointSpec, RequestNumber, SnapshotName};
 use crate::gateway::dispatch::peers::FetchKind;
 use crate::gateway::dispatch::record::Record;
 use crate::schema::{BoxState, EndpointId, OrganisationId, StateRequest, UsageNews};
 
 /// Where the memory of a run lies that another endpoint goes on from.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct BackupAt {
+pub struct ReplicaLocation {
     /// The endpoint that holds the copy, or the engine that gave it its name.
     pub address: SocketAddr,
     /// The copy's name; one that grows with its run goes by the request's id.
-    pub name: Option<CopyName>,
+    pub name: Option<SnapshotName>,
 }
 
 /// One sending of a request.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Sending {
+pub struct Attempt {
     /// Which one.
-    pub attempt: Try,
+    pub attempt: AttemptNumber,
     /// The endpoint.
     pub endpoint: EndpointId,
     /// Its address.
@@ -33,9 +33,9 @@
     /// The event after which the stream goes on.
     pub after_event: Option<u64>,
     /// Where the memory of the run is to be copied.
-    pub backup_to: Option<SocketAddr>,
+    pub mirror_to: Option<SocketAddr>,
     /// The copy that this sending goes on from.
-    pub resume_from: Option<BackupAt>,
+    pub resume_from: Option<ReplicaLocation>,
     /// How long to wait for a connection.
     pub connect_limit: Duration,
     /// How long a connection that is used again may have rested.
@@ -75,9 +75,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
     /// Send the request to an endpoint.
-    Send(Box<Sending>),
+    Send(Box<Attempt>),
     /// Close the connection of the running sending.
-    StopSending(Try),
+    StopAttempt(AttemptNumber),
     /// Pass on the answer that is held; the request is over.
     Deliver,
     /// End the stream as complete; the request is over.
@@ -115,28 +115,28 @@
         among: Vec<(EndpointId, SocketAddr)>,
     },
     /// Have an engine copy the memory of a run, which goes on meanwhile.
-    CopyRun {
+    TakeSnapshot {
         /// The request.
         request: RequestNumber,
         /// The sending whose run it is.
-        attempt: Try,
+        attempt: AttemptNumber,
         /// The caller's id, by which the engine knows the run.
         run: String,
         /// The engine's address.
         engine: SocketAddr,
         /// The endpoint that is to hold the copy.
-        holder: EndpointId,
+        host: EndpointId,
         /// The holder's address.
         to: SocketAddr,
         /// How long to wait.
         limit: Duration,
     },
     /// Have an engine drop a copy that is not needed any more.
-    DropCopy {
+    DropSnapshot {
         /// The engine's address.
         engine: SocketAddr,
         /// The copy.
-        name: CopyName,
+        name: SnapshotName,
     },
     /// Ask what has an endpoint's address who it is.
     AskIdentity {
@@ -148,7 +148,7 @@
     /// Find out whether what has an address now is a model engine.
     Identify(EndpointSpec),
     /// Begin or cease to read the platform's store.
-    ReadStore(bool),
+    WatchStore(bool),
     /// Tell other boxes how this one stands, by UDP.
     Gossip {
         /// Their addresses.
@@ -157,7 +157,7 @@
         state: Box<BoxState>,
     },
     /// Tell other boxes what this one has just sent to endpoints, by UDP.
-    TellUsage {
+    GossipUsage {
         /// Their addresses.
         to: Vec<SocketAddr>,
         /// What was sent.
--- a/src/gateway/dispatch/arrivals.rs
+++ b/src/gateway/dispatch/admission.rs
@@ -10,7 +10,7 @@
 use super::event::{Arrival, RequestNumber};
 use super::record::Record;
 use super::request::Request;
-use super::table::{KeyHolder, NoMatch, Route, RoutingTable};
+use super::table::{KeyOwner, NoMatch, Route, RoutingTable};
 use crate::gateway::dispatch::fleet::Endpoint;
 use crate::rendezvous;
 use crate::schema::{Micros, ServiceId};
@@ -48,7 +48,7 @@
             Ok((route, _)) if self.would_be_cut(&route) => {
                 self.refuse_new(number, &arrival, RefusalReason::NoEndpoint);
             }
-            Ok((route, holder)) => self.take_in(number, arrival, &table, route, holder),
+            Ok((route, key_owner)) => self.take_in(number, arrival, &table, route, key_owner),
         }
     }
 
@@ -114,7 +114,7 @@
         arrival: Arrival,
         table: &RoutingTable,
         route: Arc<Route>,
-        holder: Option<KeyHolder>,
+        key_owner: Option<KeyOwner>,
     ) {
         let service = self.pick_service(&route);
         let patience = arrival.patience.unwrap_or(route.timeout);
@@ -134,12 +134,12 @@
             arrival,
             route,
             service,
-            holder,
-            running: None,
-            sendings: 0,
-            runs: 0,
+            key_owner,
+            active: None,
+            attempts: 0,
+            maybe_run: 0,
             tried: Vec::new(),
-            copies: Vec::new(),
+            replicas: Vec::new(),
             last_passed: self.now,
             has_begun: false,
             fault: None,
@@ -151,7 +151,7 @@
         if is_return {
             self.locate(number);
         } else {
-            self.send_somewhere(number);
+            self.start_attempt_anywhere(number);
         }
     }
 
@@ -180,8 +180,8 @@
 fn matching(
     table: &RoutingTable,
     arrival: &Arrival,
-) -> Result<(Arc<Route>, Option<KeyHolder>), NoMatch> {
+) -> Result<(Arc<Route>, Option<KeyOwner>), NoMatch> {
     let route = table.route(&arrival.host, &arrival.path)?;
-    let holder = table.holder(&route, arrival.key.as_deref())?;
-    Ok((route, holder))
+    let key_owner = table.key_owner(&route, arrival.key.as_deref())?;
+    Ok((route, key_owner))
 }
--- a/src/gateway/dispatch/sending.rs
+++ b/src/gateway/dispatch/attempts.rs
@@ -3,12 +3,12 @@
 use std::time::Duration;
 
 use super::Dispatcher;
-use super::action::{BackupAt, Command, Refusal, RefusalReason, Sending};
-use super::copies::first_look;
-use super::event::{RequestNumber, Tokens, Try};
+use super::action::{Attempt, Command, Refusal, RefusalReason, ReplicaLocation};
+use super::event::{AttemptNumber, RequestNumber, Tokens};
 use super::placement::{ATTEMPT_CONNECT_LIMIT, Demand};
 use super::record::Record;
-use super::request::{Request, Running};
+use super::replicas::first_replica_check;
+use super::request::{ActiveAttempt, Request};
 use crate::schema::{EndpointId, Micros};
 
 /// How long to wait before looking for an endpoint again.
@@ -30,34 +30,34 @@
 
 impl Dispatcher {
     /// Sends a request to the endpoint that suits it best.
-    pub(super) fn send_somewhere(&mut self, number: RequestNumber) {
+    pub(super) fn start_attempt_anywhere(&mut self, number: RequestNumber) {
         let Some(request) = self.requests.get(&number) else {
             return;
         };
-        if request.time_left(self.now) < LEAST_TIME || request.sendings >= MOST_SENDINGS {
+        if request.time_left(self.now) < LEAST_TIME || request.attempts >= MOST_SENDINGS {
             self.give_up_expired(number);
             return;
         }
         let chosen = self.placer.choose(&self.fleet, demand(request), self.now);
         match chosen.map(|e| e.spec.id.clone()) {
-            Some(endpoint) => self.send_to(number, &endpoint, None),
+            Some(endpoint) => self.start_attempt(number, &endpoint, None),
             None => self.wait_for_endpoint(number),
         }
     }
 
     /// Goes on from a copy of the last run if there is one, or else wherever suits best.
-    pub(super) fn send_on(&mut self, number: RequestNumber) {
-        match self.take_copy(number) {
-            Some(copy) => self.send_to(number, &copy.holder, Some(&copy.at)),
-            None => self.send_somewhere(number),
+    pub(super) fn start_next_attempt(&mut self, number: RequestNumber) {
+        match self.take_replica(number) {
+            Some(replica) => self.start_attempt(number, &replica.host, Some(&replica.at)),
+            None => self.start_attempt_anywhere(number),
         }
     }
 
-    pub(super) fn send_to(
+    pub(super) fn start_attempt(
         &mut self,
         number: RequestNumber,
         to: &EndpointId,
-        copy: Option<&BackupAt>,
+        copy: Option<&ReplicaLocation>,
     ) {
         let now = self.now;
         let Some(request) = self.requests.get(&number) else {
@@ -66,27 +66,30 @@
         let Some(endpoint) = self.fleet.get(to) else {
             return;
         };
-        let wants_backup = request.route.kind.may_repeat()
-            && request.engine.is_some_and(|e| e.backups)
-            && request.runs + 1 < request.route.attempts;
-        let backup = wants_backup
+        let wants_mirror = request.route.kind.may_repeat()
+            && request.engine.is_some_and(|e| e.mirrors)
+            && request.maybe_run + 1 < request.route.attempts;
+        let mirror = wants_mirror
             .then(|| {
                 self.placer
-                    .choose_backup(&self.fleet, demand(request), endpoint, now)
+                    .choose_mirror(&self.fleet, demand(request), endpoint, now)
             })
             .flatten()
             .map(|e| (e.spec.id.clone(), e.spec.address));
         let is_engine = request.engine.is_some();
         let usage = self.fleet.usage(endpoint, now);
         let spec = endpoint.spec.clone();
-        let sending = Sending {
-            attempt: Try(request.sendings + 1),
+        let sending = Attempt {
+            attempt: AttemptNumber(request.attempts + 1),
             endpoint: to.clone(),
             address: endpoint.spec.address,
             time_left: request.time_left(now),
-            organisation: request.holder.as_ref().map(|h| h.organisation.clone()),
+            organisation: request
+                .key_owner
+                .as_ref()
+                .map(|owner| owner.organisation.clone()),
             after_event: request.last_event,
-            backup_to: backup.as_ref().map(|(_, address)| *address),
+            mirror_to: mirror.as_ref().map(|(_, address)| *address),
             resume_from: copy.cloned(),
             connect_limit: ATTEMPT_CONNECT_LIMIT,
             longest_rest: longest_rest(request),
@@ -96,28 +99,28 @@
             attempt: sending.attempt.0,
             endpoint: to.to_string(),
             domain: endpoint.spec.domain.to_string(),
-            backup: backup.as_ref().map(|(id, _)| id.to_string()),
+            backup: mirror.as_ref().map(|(id, _)| id.to_string()),
             from_backup: copy.is_some(),
             after_event: request.last_event,
-            reading: usage.reading,
+            reading: usage.prefill,
             running: usage.running,
             left_ms: u64::try_from(sending.time_left.as_millis()).unwrap_or(u64::MAX),
         };
         self.record(record);
         self.fleet.on_sending(&spec, now);
-        self.note_running(number, &sending, backup.map(|(id, _)| id));
+        self.count_attempt(number, &sending, mirror.map(|(id, _)| id));
         if is_engine {
-            self.note_usage(to);
+            self.report_usage_soon(to);
         }
         self.tell(number, Command::Send(Box::new(sending)));
     }
 
     /// Counts a sending at its endpoint and at the one that keeps a copy.
-    fn note_running(
+    fn count_attempt(
         &mut self,
         number: RequestNumber,
-        sending: &Sending,
-        backup: Option<EndpointId>,
+        sending: &Attempt,
+        mirror: Option<EndpointId>,
     ) {
         let now = self.now;
         let Some(request) = self.requests.get_mut(&number) else {
@@ -130,12 +133,12 @@
         let memory = memory_of(request).0;
         let is_engine = request.engine.is_some();
         let reads = is_engine && sending.resume_from.is_none();
-        let reading = if reads { request.arrival.prompt.0 } else { 0 };
-        request.sendings += 1;
+        let prefill = if reads { request.arrival.prompt.0 } else { 0 };
+        request.attempts += 1;
         request.tried.push(sending.endpoint.clone());
         request.next_look = None;
         request.without_endpoint = None;
-        request.running = Some(Running {
+        request.active = Some(ActiveAttempt {
             attempt: sending.attempt,
             endpoint: sending.endpoint.clone(),
             started: now,
@@ -143,35 +146,35 @@
             has_events: false,
             domain: sending_domain,
             address: sending.address,
-            backup: backup.clone(),
-            extra: None,
-            next_copy: first_look(now),
-            reading,
+            mirror: mirror.clone(),
+            snapshot: None,
+            next_replica_check: first_replica_check(now),
+            prefill,
             memory,
         });
         if let Some(endpoint) = self.fleet.get_mut(&sending.endpoint) {
             endpoint.own.running += 1;
-            endpoint.own.reading += reading;
+            endpoint.own.prefill += prefill;
             endpoint.own.memory += memory;
         }
-        if let Some(endpoint) = backup.and_then(|id| self.fleet.get_mut(&id)) {
+        if let Some(endpoint) = mirror.and_then(|id| self.fleet.get_mut(&id)) {
             endpoint.own.memory += memory;
         }
     }
 
     /// Takes a sending that has ended off the counts.
-    pub(super) fn note_ended(&mut self, running: &Running) {
-        if let Some(endpoint) = self.fleet.get_mut(&running.endpoint) {
+    pub(super) fn uncount_attempt(&mut self, active: &ActiveAttempt) {
+        if let Some(endpoint) = self.fleet.get_mut(&active.endpoint) {
             endpoint.own.running = endpoint.own.running.saturating_sub(1);
-            endpoint.own.reading = endpoint.own.reading.saturating_sub(running.reading);
-            endpoint.own.memory = endpoint.own.memory.saturating_sub(running.memory);
+            endpoint.own.prefill = endpoint.own.prefill.saturating_sub(active.prefill);
+            endpoint.own.memory = endpoint.own.memory.saturating_sub(active.memory);
         }
-        if let Some(extra) = &running.extra {
-            self.uncount_extra(extra);
+        if let Some(extra) = &active.snapshot {
+            self.uncount_snapshot(extra);
         }
-        let backup = running.backup.as_ref();
-        if let Some(endpoint) = backup.and_then(|id| self.fleet.get_mut(id)) {
-            endpoint.own.memory = endpoint.own.memory.saturating_sub(running.memory);
+        let mirror = active.mirror.as_ref();
+        if let Some(endpoint) = mirror.and_then(|id| self.fleet.get_mut(id)) {
+            endpoint.own.memory = endpoint.own.memory.saturating_sub(active.memory);
         }
         self.fleet.forget_unused();
     }
@@ -211,7 +214,7 @@
         let Some(request) = self.requests.get(&number) else {
             return;
         };
-        let reason = if request.has_not_run() && request.running.is_none() {
+        let reason = if request.has_not_run() && request.active.is_none() {
             RefusalReason::ExpiredNotRun
         } else {
             RefusalReason::Expired
@@ -228,13 +231,13 @@
             request: request.arrival.id.clone(),
             reason,
             after_ms: request.age_ms(self.now),
-            attempts: request.sendings,
+            attempts: request.attempts,
             fault: request.fault,
         });
-        if let Some(running) = &request.running {
-            self.tell(number, Command::StopSending(running.attempt));
-            self.note_ended(running);
-            self.drop_copies(running);
+        if let Some(active) = &request.active {
+            self.tell(number, Command::StopAttempt(active.attempt));
+            self.uncount_attempt(active);
+            self.drop_snapshot_of(active);
         }
         let not_run = matches!(
             reason,
--- a/src/gateway/dispatch/event.rs
+++ b/src/gateway/dispatch/event.rs
@@ -21,9 +21,9 @@
 
 /// One sending of a request to an endpoint, counted from 1.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub struct Try(pub u32);
+pub struct AttemptNumber(pub u32);
 
-impl fmt::Display for Try {
+impl fmt::Display for AttemptNumber {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.0.fmt(f)
     }
@@ -41,9 +41,9 @@
 
 /// The name of a copy of a run's memory, as its engine gave it.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct CopyName(pub String);
+pub struct SnapshotName(pub String);
 
-impl fmt::Display for CopyName {
+impl fmt::Display for SnapshotName {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.0.fmt(f)
     }
@@ -161,14 +161,14 @@
         /// The request.
         request: RequestNumber,
         /// The sending.
-        attempt: Try,
+        attempt: AttemptNumber,
     },
     /// Events of a stream came.
     Progress {
         /// The request.
         request: RequestNumber,
         /// The sending.
-        attempt: Try,
+        attempt: AttemptNumber,
         /// The id of the last event that was passed on.
         last_event: u64,
     },
@@ -177,7 +177,7 @@
         /// The request.
         request: RequestNumber,
         /// The sending.
-        attempt: Try,
+        attempt: AttemptNumber,
         /// How.
         outcome: Outcome,
     },
@@ -238,14 +238,14 @@
         endpoint: Option<EndpointId>,
     },
     /// An engine was asked to copy the memory of a run.
-    Copied {
+    SnapshotTaken {
         /// The request.
         request: RequestNumber,
         /// The sending whose run it is.
-        attempt: Try,
+        attempt: AttemptNumber,
         /// The endpoint that the copy was meant for.
-        holder: EndpointId,
+        host: EndpointId,
         /// The copy's name, if it was made.
-        name: Option<CopyName>,
+        name: Option<SnapshotName>,
     },
 }
--- a/src/gateway/dispatch/fleet.rs
+++ b/src/gateway/dispatch/fleet.rs
@@ -32,7 +32,7 @@
     pub own: Usage,
     /// What other boxes said that they run there.
     others: Vec<PeerUsage>,
-    /// When any of this box's sendings last heard of it.
+    /// When any of this box's attempts last heard of it.
     pub heard: Micros,
     /// When a probe was sent that is not answered yet.
     pub probe_sent: Option<Micros>,
--- a/src/gateway/dispatch/fleet/losses.rs
+++ b/src/gateway/dispatch/fleet/losses.rs
@@ -2,7 +2,7 @@
 //! their failure domain.
 //!
 //! An endpoint that failed is avoided for a while that grows with each failure. When several of a
-//! failure domain were lost at once, the others of it are doubted until they are heard. A domain
+//! failure domain were lost at once, the others of it are suspected until they are heard. A domain
 //! to which no connection can be made is tried now and then only.
 
 use std::collections::BTreeMap;
@@ -27,10 +27,10 @@
 const UNREACHABLE_AFTER: u32 = 3;
 /// Time between trials of a domain that can't be reached.
 const TRIAL_PAUSE: Duration = Duration::from_millis(300);
-/// How long an endpoint that was there before its domain failed is doubted, unless it is heard: a
+/// How long an endpoint that was there before its domain failed is suspected, unless it is heard: a
 /// restarted one is listed under another id by then.
-const DOUBTED_FOR: Duration = Duration::from_millis(4_500);
-/// How long an endpoint is doubted before it is asked who it is.
+const SUSPECTED_FOR: Duration = Duration::from_millis(4_500);
+/// How long an endpoint is suspected before it is asked who it is.
 const IDENTIFY_AFTER: Duration = Duration::from_millis(1_400);
 /// Time between two such questions.
 const IDENTIFY_AGAIN: Duration = Duration::from_millis(1_500);
@@ -60,7 +60,7 @@
 pub(super) struct Losses {
     recent: Vec<Loss>,
     /// Domains of which several endpoints were lost at once, and when.
-    failed_domains: BTreeMap<(ServiceId, DomainId), Micros>,
+    suspected_domains: BTreeMap<(ServiceId, DomainId), Micros>,
     unreachable: BTreeMap<(ServiceId, DomainId), Unreachable>,
 }
 
@@ -166,7 +166,7 @@
         });
         let of_domain = |loss: &&Loss| loss.domain == domain && loss.service == service;
         if self.losses.recent.iter().filter(of_domain).count() >= DOMAIN_LOSSES {
-            self.losses.failed_domains.insert((service, domain), now);
+            self.losses.suspected_domains.insert((service, domain), now);
         }
     }
 
@@ -181,29 +181,29 @@
 
     /// Whether an endpoint may have been lost with others of its domain.
     #[must_use]
-    pub fn is_doubted(&self, endpoint: &Endpoint, now: Micros) -> bool {
+    pub fn is_suspected(&self, endpoint: &Endpoint, now: Micros) -> bool {
         let key = (endpoint.spec.service.clone(), endpoint.spec.domain.clone());
-        let Some(failed) = self.losses.failed_domains.get(&key) else {
+        let Some(failed) = self.losses.suspected_domains.get(&key) else {
             return false;
         };
         let is_unheard = endpoint.heard < *failed && endpoint.first_seen < *failed;
-        is_unheard && now.since(*failed) < DOUBTED_FOR
+        is_unheard && now.since(*failed) < SUSPECTED_FOR
     }
 
-    /// The endpoints of a domain that have been doubted for a while and not asked who they are since;
+    /// The endpoints of a domain that have been suspected for a while and not asked who they are since;
     /// notes that they are.
     pub fn to_identify(&mut self, domain: &DomainId, now: Micros) -> Vec<EndpointSpec> {
         let mut found = Vec::new();
-        for ((service, of), failed) in &self.losses.failed_domains {
-            let doubted_for = now.since(*failed);
-            if of != domain || !(IDENTIFY_AFTER..DOUBTED_FOR).contains(&doubted_for) {
+        for ((service, of), failed) in &self.losses.suspected_domains {
+            let suspected_for = now.since(*failed);
+            if of != domain || !(IDENTIFY_AFTER..SUSPECTED_FOR).contains(&suspected_for) {
                 continue;
             }
-            let doubted = self.endpoints.values_mut().filter(|e| {
+            let suspected = self.endpoints.values_mut().filter(|e| {
                 let is_unheard = e.heard < *failed && e.first_seen < *failed;
                 e.listed && is_unheard && e.spec.service == *service && e.spec.domain == *domain
             });
-            for endpoint in doubted {
+            for endpoint in suspected {
                 if now.since(endpoint.identity_asked) >= IDENTIFY_AGAIN {
                     endpoint.identity_asked = now;
                     found.push(endpoint.spec.clone());
--- a/src/gateway/dispatch/fleet/usage.rs
+++ b/src/gateway/dispatch/fleet/usage.rs
@@ -1,4 +1,4 @@
-//! What runs at endpoints: counted from this box's own sendings, and from what peers tell.
+//! What runs at endpoints: counted from this box's own attempts, and from what peers tell.
 //!
 //! A peer tells at once what it sent to an engine, and now and then all that it runs. What it told
 //! grows old: the prompts are read by and by, and after a while nothing of it counts any more.
@@ -20,7 +20,7 @@
     /// Requests that run there.
     pub running: u32,
     /// Tokens of prompts whose first event has not come.
-    pub reading: u32,
+    pub prefill: u32,
     /// Tokens of KV memory that runs and copies take or will take.
     pub memory: u32,
 }
@@ -41,7 +41,7 @@
         let life = if is_engine { ENGINE_USAGE } else { PLAIN_USAGE };
         let read = (age.as_secs_f64() * 1_000.0 * READ_PER_MS) as u32;
         (age < life).then_some(Usage {
-            reading: self.usage.reading.saturating_sub(read),
+            prefill: self.usage.prefill.saturating_sub(read),
             ..self.usage
         })
     }
@@ -70,7 +70,7 @@
                 at: now,
                 usage: Usage {
                     running: told.running,
-                    reading: told.reading,
+                    prefill: told.reading,
                     memory: told.memory,
                 },
             });
@@ -83,7 +83,7 @@
         let mut total = endpoint.own;
         for other in endpoint.others.iter().filter_map(|other| other.left(now)) {
             total.running += other.running;
-            total.reading += other.reading;
+            total.prefill += other.prefill;
             total.memory += other.memory;
         }
         total
@@ -96,7 +96,7 @@
         Some(EndpointUsage {
             endpoint: id.clone(),
             running: endpoint.own.running,
-            reading: endpoint.own.reading,
+            reading: endpoint.own.prefill,
             memory: endpoint.own.memory,
         })
     }
--- a/src/gateway/dispatch/gossip.rs
+++ b/src/gateway/dispatch/gossip.rs
@@ -7,24 +7,24 @@
 use super::Dispatcher;
 use super::action::Action;
 use super::peers::{FetchKind, Heard};
-use super::readers::Readers;
+use super::store_watchers::StoreWatchers;
 use super::table::TableVersion;
 use crate::schema::{BoxState, EndpointId, Micros, StateRequest, UsageNews};
 
 /// How long news gather before peers are told.
 const NEWS_PAUSE: Duration = Duration::from_millis(10);
 
-/// How long sendings gather before the boxes of the own failure domain are told of them.
+/// How long attempts gather before the boxes of the own failure domain are told of them.
 const USAGE_PAUSE: Duration = Duration::from_millis(10);
 
 /// Engines that something was sent to, of which peers are told soon.
 #[derive(Debug, Default)]
-pub(super) struct UsageToTell {
+pub(super) struct PendingUsage {
     engines: BTreeSet<EndpointId>,
     due: Option<Micros>,
 }
 
-impl UsageToTell {
+impl PendingUsage {
     /// When peers are to be told.
     pub fn due(&self) -> Micros {
         self.due.unwrap_or(Micros(u64::MAX))
@@ -34,13 +34,13 @@
 impl Dispatcher {
     /// Lets the boxes of the own failure domain know soon what was sent to an engine, so that they
     /// choose others for their prompts.
-    pub(super) fn note_usage(&mut self, engine: &EndpointId) {
+    pub(super) fn report_usage_soon(&mut self, engine: &EndpointId) {
         self.usage_news.engines.insert(engine.clone());
         let due = self.now.after(USAGE_PAUSE);
         self.usage_news.due.get_or_insert(due);
     }
 
-    pub(super) fn tell_usage_if_due(&mut self) {
+    pub(super) fn gossip_usage_if_due(&mut self) {
         if self.now < self.usage_news.due() {
             return;
         }
@@ -57,7 +57,7 @@
             from: self.cfg.me.clone(),
             usage: usage.collect(),
         };
-        self.actions.push(Action::TellUsage { to, news });
+        self.actions.push(Action::GossipUsage { to, news });
     }
 
     /// Tells peers before it is due, since there is news.
@@ -72,7 +72,7 @@
         self.next_gossip = self.now.after(self.cfg.gossip);
         let to = self.peers.choose(&mut self.rng, self.now);
         if !to.is_empty() {
-            self.tell_state(to);
+            self.gossip_state(to);
         }
     }
 
@@ -90,27 +90,27 @@
             lost: self.fleet.lost(self.now).cloned().collect(),
             peers: self.peers.heard_addresses(self.now),
             endpoints_at: self.endpoints_at,
-            readers: self.readers.told(self.now),
+            readers: self.store_watchers.told(self.now),
         }
     }
 
     /// Tells a box that has just started how this one stands, so that it needn't ask the store.
     fn welcome(&mut self, newcomer: &BoxState) {
         if let Ok(address) = newcomer.address.parse() {
-            self.tell_state(vec![address]);
+            self.gossip_state(vec![address]);
         }
     }
 
     /// Tells the boxes of the own failure domain that this one reads the store from now on, and
     /// those of which the domain is not known.
-    pub(super) fn tell_claim(&mut self) {
+    pub(super) fn gossip_claim(&mut self) {
         let to = self.peers.near_and_unknown(self.now);
         if !to.is_empty() {
-            self.tell_state(to);
+            self.gossip_state(to);
         }
     }
 
-    fn tell_state(&mut self, to: Vec<SocketAddr>) {
+    fn gossip_state(&mut self, to: Vec<SocketAddr>) {
         let state = Box::new(self.state());
         self.actions.push(Action::Gossip { to, state });
     }
@@ -120,11 +120,11 @@
         if arrival == Heard::Nothing {
             return;
         }
-        if arrival == Heard::NewBox && !Readers::are_enough(&state.readers, &state.domain) {
+        if arrival == Heard::NewBox && !StoreWatchers::are_enough(&state.readers, &state.domain) {
             self.welcome(state);
         }
         self.fleet.on_peer(state, self.now);
-        self.readers.on_told(&state.readers, self.now);
+        self.store_watchers.on_told(&state.readers, self.now);
         if TableVersion(state.table_version) > self.table_version() {
             self.fetch(FetchKind::Table, state);
         }
--- a/src/gateway/dispatch/outcomes.rs
+++ b/src/gateway/dispatch/outcomes.rs
@@ -1,12 +1,12 @@
-//! What comes of sendings, and what follows from it.
+//! What comes of attempts, and what follows from it.
 
 use super::Dispatcher;
 use super::action::{Action, Command, RefusalReason};
 use super::event::{
-    EndpointSpec, Fault, LEAST_ERROR_STATUS, NotRunCause, Outcome, RequestNumber, Try,
+    AttemptNumber, EndpointSpec, Fault, LEAST_ERROR_STATUS, NotRunCause, Outcome, RequestNumber,
 };
 use super::record::Record;
-use super::request::{Request, Running, outcome_word};
+use super::request::{ActiveAttempt, Request, outcome_word};
 use crate::schema::EndpointId;
 
 impl Dispatcher {
@@ -19,20 +19,20 @@
             request: request.arrival.id.clone(),
             after_ms: request.age_ms(self.now),
         });
-        if let Some(running) = &request.running {
-            self.note_ended(running);
-            self.drop_copies(running);
+        if let Some(active) = &request.active {
+            self.uncount_attempt(active);
+            self.drop_snapshot_of(active);
         }
     }
 
-    pub(super) fn on_opened(&mut self, number: RequestNumber, attempt: Try) {
+    pub(super) fn on_opened(&mut self, number: RequestNumber, attempt: AttemptNumber) {
         let now = self.now;
-        if let Some(running) = self
-            .running(number, attempt)
-            .and_then(|r| r.running.as_mut())
+        if let Some(active) = self
+            .with_active(number, attempt)
+            .and_then(|r| r.active.as_mut())
         {
-            running.heard = now;
-            let endpoint = running.endpoint.clone();
+            active.heard = now;
+            let endpoint = active.endpoint.clone();
             self.fleet.on_reached(&endpoint);
             if let Some(endpoint) = self.fleet.get_mut(&endpoint) {
                 endpoint.heard = now;
@@ -40,12 +40,17 @@
         }
     }
 
-    pub(super) fn on_progress(&mut self, number: RequestNumber, attempt: Try, last_event: u64) {
+    pub(super) fn on_progress(
+        &mut self,
+        number: RequestNumber,
+        attempt: AttemptNumber,
+        last_event: u64,
+    ) {
         let now = self.now;
-        let Some(request) = self.running(number, attempt) else {
+        let Some(request) = self.with_active(number, attempt) else {
             return;
         };
-        request.copies.clear();
+        request.replicas.clear();
         let pause = now.since(request.last_passed);
         let is_resumed = request.has_begun;
         request.last_event = Some(last_event);
@@ -53,16 +58,16 @@
         request.has_begun = true;
         let id = request.arrival.id.clone();
         let arrived = request.arrived;
-        let Some(running) = request.running.as_mut() else {
+        let Some(active) = request.active.as_mut() else {
             return;
         };
-        running.heard = now;
-        let is_first = !std::mem::replace(&mut running.has_events, true);
-        let read = std::mem::take(&mut running.reading);
-        let endpoint = running.endpoint.clone();
+        active.heard = now;
+        let is_first = !std::mem::replace(&mut active.has_events, true);
+        let prefilled = std::mem::take(&mut active.prefill);
+        let endpoint = active.endpoint.clone();
         if let Some(endpoint) = self.fleet.get_mut(&endpoint) {
             endpoint.heard = now;
-            endpoint.own.reading = endpoint.own.reading.saturating_sub(read);
+            endpoint.own.prefill = endpoint.own.prefill.saturating_sub(prefilled);
         }
         if is_first && !is_resumed {
             self.record(Record::Begun {
@@ -79,53 +84,58 @@
         }
     }
 
-    pub(super) fn on_ended(&mut self, number: RequestNumber, attempt: Try, outcome: &Outcome) {
-        let Some(request) = self.running(number, attempt) else {
+    pub(super) fn on_ended(
+        &mut self,
+        number: RequestNumber,
+        attempt: AttemptNumber,
+        outcome: &Outcome,
+    ) {
+        let Some(request) = self.with_active(number, attempt) else {
             return;
         };
-        let Some(running) = request.running.take() else {
+        let Some(active) = request.active.take() else {
             return;
         };
         if !matches!(outcome, Outcome::NotSent | Outcome::NotRun(_)) {
-            request.runs += 1;
+            request.maybe_run += 1;
         }
         if let Outcome::Broken(fault) = outcome {
             request.fault = Some(*fault);
         }
-        self.record_end(number, &running, outcome);
-        self.note_ended(&running);
-        self.follow(number, &running, outcome);
+        self.record_end(number, &active, outcome);
+        self.uncount_attempt(&active);
+        self.follow(number, &active, outcome);
     }
 
-    fn follow(&mut self, number: RequestNumber, running: &Running, outcome: &Outcome) {
-        let endpoint = &running.endpoint;
+    fn follow(&mut self, number: RequestNumber, active: &ActiveAttempt, outcome: &Outcome) {
+        let endpoint = &active.endpoint;
         match outcome {
             Outcome::NotSent => {
                 self.on_loss(endpoint);
                 self.fleet.on_unreachable(endpoint, self.now);
-                self.send_on(number);
+                self.start_next_attempt(number);
             }
             Outcome::NotRun(NotRunCause::OtherInstance(instance)) => {
                 self.identify(endpoint, instance.as_ref());
                 self.fleet.on_reached(endpoint);
                 self.fleet.replaced(endpoint);
-                self.send_on(number);
+                self.start_next_attempt(number);
             }
             Outcome::NotRun(NotRunCause::NoRoom) => {
                 self.fleet.on_error_answer(endpoint, self.now);
                 self.retry_not_run(number);
             }
-            Outcome::Answered { status } => self.on_answered(number, running, *status),
+            Outcome::Answered { status } => self.on_answered(number, active, *status),
             Outcome::StreamEnded => {
                 self.fleet.on_success(endpoint, self.now);
-                self.drop_copies(running);
+                self.drop_snapshot_of(active);
                 self.finish(number, Command::Finish);
             }
             Outcome::Broken(fault) => {
                 self.on_loss(endpoint);
-                self.go_on(number, running, *fault);
+                self.go_on(number, active, *fault);
             }
-            Outcome::Stopped => self.go_on(number, running, Fault::Silent),
+            Outcome::Stopped => self.go_on(number, active, Fault::Silent),
         }
     }
 
@@ -169,42 +179,42 @@
     /// Sends a request elsewhere that an endpoint had no room for.
     fn retry_not_run(&mut self, number: RequestNumber) {
         if self.take_retry(number) {
-            self.send_on(number);
+            self.start_next_attempt(number);
         } else {
             self.give_up_without_retry(number);
         }
     }
 
-    fn on_answered(&mut self, number: RequestNumber, running: &Running, status: u16) {
+    fn on_answered(&mut self, number: RequestNumber, active: &ActiveAttempt, status: u16) {
         if status < LEAST_ERROR_STATUS {
-            self.fleet.on_success(&running.endpoint, self.now);
+            self.fleet.on_success(&active.endpoint, self.now);
             self.finish(number, Command::Deliver);
             return;
         }
-        self.fleet.on_error_answer(&running.endpoint, self.now);
+        self.fleet.on_error_answer(&active.endpoint, self.now);
         let may_run_again = self
             .requests
             .get(&number)
             .is_some_and(Request::may_run_again);
         if may_run_again && self.take_retry(number) {
-            self.send_somewhere(number);
+            self.start_attempt_anywhere(number);
         } else {
             self.finish(number, Command::Deliver);
         }
     }
 
     /// Goes on elsewhere after a sending that may have run was lost.
-    pub(super) fn go_on(&mut self, number: RequestNumber, running: &Running, fault: Fault) {
+    pub(super) fn go_on(&mut self, number: RequestNumber, active: &ActiveAttempt, fault: Fault) {
         let Some(request) = self.requests.get(&number) else {
             return;
         };
-        let copies = self.copies_of(request, running);
+        let copies = self.replicas_of(request, active);
         let Some(request) = self.requests.get_mut(&number) else {
             return;
         };
         request.fault = Some(fault);
         // Copies of the run before may still be there if this one had none.
-        request.copies.splice(0..0, copies);
+        request.replicas.splice(0..0, copies);
         if !request.may_run_again() {
             self.refuse(number, RefusalReason::EndpointFailed);
             return;
@@ -213,7 +223,7 @@
             self.give_up_without_retry(number);
             return;
         }
-        self.send_on(number);
+        self.start_next_attempt(number);
     }
 
     fn give_up_without_retry(&mut self, number: RequestNumber) {
@@ -239,7 +249,7 @@
             self.record(Record::Answered {
                 request: request.arrival.id.clone(),
                 after_ms: request.age_ms(self.now),
-                attempts: request.sendings,
+                attempts: request.attempts,
             });
         }
         self.tell(number, command);
@@ -248,7 +258,7 @@
     pub(super) fn record_end(
         &mut self,
         number: RequestNumber,
-        running: &Running,
+        active: &ActiveAttempt,
         outcome: &Outcome,
     ) {
         let Some(request) = self.requests.get(&number) else {
@@ -258,11 +268,11 @@
             Outcome::Answered { status } => *status,
             _ => 0,
         };
-        let after = self.now.since(running.started).as_millis();
+        let after = self.now.since(active.started).as_millis();
         let record = Record::Ended {
             request: request.arrival.id.clone(),
-            attempt: running.attempt.0,
-            endpoint: running.endpoint.to_string(),
+            attempt: active.attempt.0,
+            endpoint: active.endpoint.to_string(),
             outcome: outcome_word(outcome).into(),
             status,
             after_ms: u64::try_from(after).unwrap_or(u64::MAX),
--- a/src/gateway/dispatch/placement.rs
+++ b/src/gateway/dispatch/placement.rs
@@ -25,7 +25,7 @@
 /// What an endpoint costs that fails all its requests, in milliseconds.
 const FAILING_COST: f64 = 1_500.0;
 /// What an endpoint costs that may have been lost with others of its domain, in milliseconds.
-const DOUBTED_COST: f64 = 3_000.0;
+const SUSPECTED_COST: f64 = 3_000.0;
 /// What a copy in the same failure domain as the run costs, in milliseconds.
 const SAME_DOMAIN_COST: f64 = 3_000.0;
 /// What an endpoint costs that failed a short while ago, in milliseconds.
@@ -80,7 +80,7 @@
 
     /// Chooses the endpoint that keeps a copy: one of another failure domain if there is one.
     #[must_use]
-    pub fn choose_backup<'a>(
+    pub fn choose_mirror<'a>(
         &self,
         fleet: &'a Fleet,
         demand: Demand<'_>,
@@ -92,11 +92,11 @@
             .filter(|e| {
                 e.takes_work()
                     && !e.is_avoided(now)
-                    && !fleet.is_doubted(e, now)
+                    && !fleet.is_suspected(e, now)
                     && !fleet.is_unreachable(e, now)
                     && e.spec.id != first.spec.id
             })
-            .map(|e| (self.backup_cost(fleet, e, demand, first, now), e));
+            .map(|e| (self.mirror_cost(fleet, e, demand, first, now), e));
         costs
             .min_by(|(a, _), (b, _)| a.total_cmp(b))
             .filter(|(cost, _)| *cost < AVOIDED_COST)
@@ -105,7 +105,7 @@
 
     /// Chooses the endpoint that another copy of a run goes to, among those that stand well.
     #[must_use]
-    pub fn choose_holder<'a>(
+    pub fn choose_snapshot_host<'a>(
         &self,
         fleet: &'a Fleet,
         demand: Demand<'_>,
@@ -123,7 +123,7 @@
             .map(|(_, endpoint)| endpoint)
     }
 
-    fn backup_cost(
+    fn mirror_cost(
         &self,
         fleet: &Fleet,
         endpoint: &Endpoint,
@@ -148,7 +148,7 @@
                 } else {
                     0.0
                 };
-                f64::from(usage.reading) / READ_PER_MS
+                f64::from(usage.prefill) / READ_PER_MS
                     + f64::from(usage.running) * RUNNING_COST
                     + memory
             }
@@ -188,8 +188,8 @@
     }
     if endpoint.is_avoided(now) {
         cost += AVOIDED_COST;
-    } else if fleet.is_doubted(endpoint, now) {
-        cost += DOUBTED_COST;
+    } else if fleet.is_suspected(endpoint, now) {
+        cost += SUSPECTED_COST;
     }
     cost
 }
--- a/src/gateway/dispatch/locating.rs
+++ b/src/gateway/dispatch/prompt_search.rs
@@ -16,7 +16,7 @@
             return;
         };
         let Some(part) = request.arrival.parts.last() else {
-            self.send_somewhere(number);
+            self.start_attempt_anywhere(number);
             return;
         };
         let likely = self
@@ -38,7 +38,7 @@
         let is_waiting = self
             .requests
             .get(&number)
-            .is_some_and(|request| request.running.is_none() && request.sendings == 0);
+            .is_some_and(|request| request.active.is_none() && request.attempts == 0);
         if !is_waiting {
             return;
         }
@@ -47,8 +47,8 @@
             found.is_some_and(|e| e.takes_work() && !e.is_avoided(self.now))
         });
         match usable {
-            Some(id) => self.send_to(number, &id, None),
-            None => self.send_somewhere(number),
+            Some(id) => self.start_attempt(number, &id, None),
+            None => self.start_attempt_anywhere(number),
         }
     }
 }
--- a/src/gateway/dispatch/request.rs
+++ b/src/gateway/dispatch/request.rs
@@ -4,16 +4,16 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::copies::{Copy, ExtraCopy};
-use crate::gateway::dispatch::event::{Arrival, Fault, NotRunCause, Outcome, Try};
-use crate::gateway::dispatch::table::{EngineSpec, KeyHolder, Route};
+use super::replicas::{Replica, Snapshot};
+use crate::gateway::dispatch::event::{Arrival, AttemptNumber, Fault, NotRunCause, Outcome};
+use crate::gateway::dispatch::table::{EngineSpec, KeyOwner, Route};
 use crate::schema::{DomainId, EndpointId, Micros, ServiceId};
 
 /// The sending that runs.
 #[derive(Clone, Debug)]
-pub(super) struct Running {
+pub(super) struct ActiveAttempt {
     /// Which one.
-    pub attempt: Try,
+    pub attempt: AttemptNumber,
     /// The endpoint.
     pub endpoint: EndpointId,
     /// When it was sent.
@@ -27,13 +27,13 @@
     /// The endpoint's address.
     pub address: SocketAddr,
     /// Where the memory of the run is copied.
-    pub backup: Option<EndpointId>,
+    pub mirror: Option<EndpointId>,
     /// A copy that was asked for while it ran.
-    pub extra: Option<ExtraCopy>,
+    pub snapshot: Option<Snapshot>,
     /// When its copies are next looked after.
-    pub next_copy: Micros,
+    pub next_replica_check: Micros,
     /// Tokens that are still counted as to be read.
-    pub reading: u32,
+    pub prefill: u32,
     /// Tokens of memory that are counted for it.
     pub memory: u32,
 }
@@ -52,21 +52,21 @@
     /// What sets equal endpoints apart, the same for every sending of this request.
     pub key: u64,
     /// Who asks.
-    pub holder: Option<KeyHolder>,
+    pub key_owner: Option<KeyOwner>,
     /// When it arrived.
     pub arrived: Micros,
     /// When it gets its final answer at the latest.
     pub deadline: Micros,
     /// The sending that runs.
-    pub running: Option<Running>,
+    pub active: Option<ActiveAttempt>,
     /// Sendings so far.
-    pub sendings: u32,
+    pub attempts: u32,
     /// Sendings that may have run.
-    pub runs: u32,
+    pub maybe_run: u32,
     /// Endpoints that it was sent to.
     pub tried: Vec<EndpointId>,
     /// Copies of its last run that it can go on from, the best one first.
-    pub copies: Vec<Copy>,
+    pub replicas: Vec<Replica>,
     /// The last event that the caller got.
     pub last_event: Option<u64>,
     /// When the caller got an event last.
@@ -89,12 +89,12 @@
 
     /// Whether it may be sent once more after it may have run.
     pub fn may_run_again(&self) -> bool {
-        self.route.kind.may_repeat() && self.runs < self.route.attempts
+        self.route.kind.may_repeat() && self.maybe_run < self.route.attempts
     }
 
     /// Whether no endpoint can have run it.
     pub fn has_not_run(&self) -> bool {
-        self.runs == 0
+        self.maybe_run == 0
     }
 
     /// Milliseconds since its arrival.
--- a/src/gateway/dispatch/readers.rs
+++ b/src/gateway/dispatch/store_watchers.rs
@@ -13,8 +13,8 @@
 
 use crate::schema::{BoxId, DomainId, Micros, StoreReader};
 
-/// Readers that a failure domain has.
-const READERS_PER_DOMAIN: usize = 2;
+/// Boxes of a failure domain that watch the store.
+const WATCHERS_PER_DOMAIN: usize = 2;
 /// How long ago the store may have answered a reader.
 const FRESH: Duration = Duration::from_millis(4_500);
 /// How long readers that are not heard of are remembered.
@@ -44,16 +44,16 @@
 
 /// What is known of the readers.
 #[derive(Debug)]
-pub struct Readers {
+pub struct StoreWatchers {
     me: BoxId,
     domain: DomainId,
     known: BTreeMap<BoxId, Known>,
-    is_reader: bool,
+    is_watching: bool,
     decide_at: Micros,
     has_decided: bool,
 }
 
-impl Readers {
+impl StoreWatchers {
     /// Starts without reading the store: a peer may tell soon what is to be known. Boxes that start
     /// at the same moment decide at different ones, so that the first of them can tell the others.
     #[must_use]
@@ -62,7 +62,7 @@
             me,
             domain,
             known: BTreeMap::new(),
-            is_reader: false,
+            is_watching: false,
             decide_at: now.after(START_SPREAD.mul_f64(rng.random())),
             has_decided: false,
         }
@@ -76,8 +76,8 @@
 
     /// Whether this box reads the store.
     #[must_use]
-    pub fn is_reader(&self) -> bool {
-        self.is_reader
+    pub fn is_watching(&self) -> bool {
+        self.is_watching
     }
 
     /// Notes that the store answered this box.
@@ -102,7 +102,7 @@
     #[must_use]
     pub fn are_enough(readers: &[StoreReader], domain: &DomainId) -> bool {
         let of_domain = readers.iter().filter(|reader| reader.domain == *domain);
-        of_domain.count() >= READERS_PER_DOMAIN
+        of_domain.count() >= WATCHERS_PER_DOMAIN
     }
 
     /// Takes in what a peer knows of the readers.
@@ -126,7 +126,7 @@
     pub fn told(&self, now: Micros) -> Vec<StoreReader> {
         let fresh = self.known.iter().filter(|(id, known)| {
             let is_own = **id == self.me;
-            known.is_fresh(now) && (!is_own || self.is_reader)
+            known.is_fresh(now) && (!is_own || self.is_watching)
         });
         fresh
             .take(MOST_TOLD)
@@ -153,13 +153,13 @@
             **id != self.me && known.domain == self.domain && known.is_fresh(now)
         });
         let before_me = others.clone().filter(|(id, _)| **id < self.me).count();
-        let is_needed = if self.is_reader {
-            before_me < READERS_PER_DOMAIN
+        let is_needed = if self.is_watching {
+            before_me < WATCHERS_PER_DOMAIN
         } else {
-            others.count() < READERS_PER_DOMAIN
+            others.count() < WATCHERS_PER_DOMAIN
         };
-        let has_changed = is_needed != self.is_reader;
-        self.is_reader = is_needed;
+        let has_changed = is_needed != self.is_watching;
+        self.is_watching = is_needed;
         if is_needed && has_changed {
             self.claim(now);
         }
--- a/src/gateway/dispatch/silence.rs
+++ b/src/gateway/dispatch/suspicion.rs
@@ -9,10 +9,10 @@
 
 use super::Dispatcher;
 use super::action::{Action, Command};
+use super::attempts::has_come;
 use super::event::{Fault, Outcome, RequestNumber};
 use super::record::Record;
 use super::request::Request;
-use super::sending::has_come;
 use super::table::RouteKind;
 use crate::schema::{EndpointId, Micros};
 
@@ -28,13 +28,13 @@
 
 /// Whether a call is so slow that another endpoint would probably answer sooner.
 fn is_slow_call(request: &Request, now: Micros) -> bool {
-    let Some(running) = &request.running else {
+    let Some(active) = &request.active else {
         return false;
     };
     let is_call = request.route.kind == RouteKind::Repeatable;
-    let has_attempt = request.runs + 1 < request.route.attempts;
+    let has_attempt = request.maybe_run + 1 < request.route.attempts;
     let limit = request.route.objective.mul_f64(SLOW_CALL_PART);
-    is_call && has_attempt && now.since(running.started) >= limit
+    is_call && has_attempt && now.since(active.started) >= limit
 }
 
 impl Dispatcher {
@@ -55,13 +55,13 @@
             self.give_up_expired(number);
         } else if has_come(request.next_look, now) {
             request.next_look = None;
-            self.send_somewhere(number);
+            self.start_attempt_anywhere(number);
         } else if is_slow_call(request, now) {
             self.move_away(number);
         } else if let Some(endpoint) = self.silent_endpoint(number) {
             self.probe(&endpoint);
         } else {
-            self.tend_copies(number);
+            self.check_replicas(number);
         }
     }
 
@@ -69,16 +69,16 @@
     fn silent_endpoint(&self, number: RequestNumber) -> Option<EndpointId> {
         let request = self.requests.get(&number)?;
         request.engine?;
-        let running = request.running.as_ref()?;
-        let endpoint = self.fleet.get(&running.endpoint)?;
-        let limit = if running.has_events {
+        let active = request.active.as_ref()?;
+        let endpoint = self.fleet.get(&active.endpoint)?;
+        let limit = if active.has_events {
             PAUSE_BEFORE_PROBE
         } else {
             WAIT_BEFORE_PROBE
         };
-        let heard = running.heard.max(endpoint.heard).max(endpoint.last_probe);
+        let heard = active.heard.max(endpoint.heard).max(endpoint.last_probe);
         let is_silent = self.now.since(heard) >= limit && endpoint.probe_sent.is_none();
-        is_silent.then(|| running.endpoint.clone())
+        is_silent.then(|| active.endpoint.clone())
     }
 
     fn probe(&mut self, id: &EndpointId) {
@@ -132,8 +132,8 @@
     /// Moves all requests that may run again away from an endpoint that is lost.
     fn move_all_from(&mut self, id: &EndpointId, unheard_since: Micros) {
         let at_endpoint = |request: &Request| {
-            let running = request.running.as_ref();
-            running.is_some_and(|r| r.endpoint == *id && r.heard <= unheard_since)
+            let active = request.active.as_ref();
+            active.is_some_and(|r| r.endpoint == *id && r.heard <= unheard_since)
         };
         let movable = |request: &Request| request.route.kind.may_repeat();
         let numbers: Vec<RequestNumber> = self
@@ -152,20 +152,20 @@
         let Some(request) = self.requests.get_mut(&number) else {
             return;
         };
-        let Some(running) = request.running.take() else {
+        let Some(active) = request.active.take() else {
             return;
         };
-        request.runs += 1;
-        let silent = now.since(running.heard).as_millis();
+        request.maybe_run += 1;
+        let silent = now.since(active.heard).as_millis();
         let record = Record::Suspected {
             request: request.arrival.id.clone(),
-            endpoint: running.endpoint.to_string(),
+            endpoint: active.endpoint.to_string(),
             silent_ms: u64::try_from(silent).unwrap_or(u64::MAX),
         };
         self.record(record);
-        self.tell(number, Command::StopSending(running.attempt));
-        self.record_end(number, &running, &Outcome::Stopped);
-        self.note_ended(&running);
-        self.go_on(number, &running, Fault::Silent);
+        self.tell(number, Command::StopAttempt(active.attempt));
+        self.record_end(number, &active, &Outcome::Stopped);
+        self.uncount_attempt(&active);
+        self.go_on(number, &active, Fault::Silent);
     }
 }
--- a/src/gateway/dispatch/table.rs
+++ b/src/gateway/dispatch/table.rs
@@ -106,11 +106,11 @@
     /// The tokens that an engine's KV memory holds.
     pub kv_tokens: u32,
     /// Whether an engine copies the memory of a run to another as it grows.
-    pub backups: bool,
+    pub mirrors: bool,
     /// Whether an engine copies the memory of a run when it is asked to.
-    pub moves: bool,
+    pub snapshots: bool,
     /// How long a copy is kept after its last part.
-    pub backup_kept: Duration,
+    pub replica_kept: Duration,
 }
 
 /// A service that routes lead to.
@@ -126,7 +126,7 @@
 
 /// An organisation as a key names it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct KeyHolder {
+pub struct KeyOwner {
     /// The organisation.
     pub organisation: OrganisationId,
 }
@@ -176,7 +176,7 @@
     /// All services.
     pub services: Vec<ServiceSpec>,
     /// Holders by key, or `None` where no route needs a key.
-    pub keys: Option<HashMap<String, KeyHolder>>,
+    pub keys: Option<HashMap<String, KeyOwner>>,
     /// Bounds on requests.
     pub limits: CallerLimits,
 }
@@ -187,7 +187,7 @@
     version: TableVersion,
     routes: HashMap<String, Vec<Arc<Route>>>,
     services: HashMap<ServiceId, ServiceSpec>,
-    keys: Option<HashMap<String, KeyHolder>>,
+    keys: Option<HashMap<String, KeyOwner>>,
     limits: CallerLimits,
 }
 
@@ -264,15 +264,15 @@
     /// # Errors
     ///
     /// If a key is needed and nobody holds this one.
-    pub fn holder(&self, route: &Route, key: Option<&str>) -> Result<Option<KeyHolder>, NoMatch> {
+    pub fn key_owner(&self, route: &Route, key: Option<&str>) -> Result<Option<KeyOwner>, NoMatch> {
         let Some(keys) = &self.keys else {
             return Ok(None);
         };
-        let holder = key.and_then(|key| keys.get(key)).cloned();
-        if holder.is_none() && !route.anonymous {
+        let owner = key.and_then(|key| keys.get(key)).cloned();
+        if owner.is_none() && !route.anonymous {
             return Err(NoMatch::Key);
         }
-        Ok(holder)
+        Ok(owner)
     }
 
     /// Finds a service.
--- a/src/gateway/settings.rs
+++ b/src/gateway/settings.rs
@@ -6,7 +6,7 @@
 
 use log::LevelFilter;
 
-use crate::gateway::dispatch::budget::RetryPolicy;
+use crate::gateway::dispatch::retry_budget::RetryPolicy;
 use crate::schema::{BoxId, DomainId, GatewaySettingsFile};
 use crate::settings::{Checker, SettingsError, file};
 
--- a/src/gateway/shell.rs
+++ b/src/gateway/shell.rs
@@ -4,24 +4,24 @@
 //! move bytes. What differs between the outsides that a gateway can stand between is behind
 //! [`dialect::Dialect`].
 
+pub mod attempt;
 pub mod control;
-pub mod copies;
-pub mod decisions;
+pub mod decision_log;
 pub mod dialect;
 pub mod events;
 pub mod exchange;
 pub mod front;
 pub mod headers;
 pub mod input;
-mod known;
 pub mod metrics;
 pub mod operators;
 pub mod peers;
 pub mod probes;
-pub mod sending;
 pub mod shared;
+pub mod snapshots;
 pub mod stop;
 pub mod store;
+mod store_cache;
 pub mod watcher;
 
 use std::path::PathBuf;
--- a/src/gateway/shell/sending.rs
+++ b/src/gateway/shell/attempt.rs
@@ -9,7 +9,7 @@
 use gotham::hyper::{HeaderMap, Request, Response, StatusCode};
 use http_body_util::{BodyExt, Full, Limited};
 
-use crate::gateway::dispatch::action::Sending;
+use crate::gateway::dispatch::action::Attempt;
 use crate::gateway::dispatch::event::{Fault, Outcome};
 use crate::gateway::shell::{GatewayShared, headers};
 use crate::http::pool::{Connection, Pool, SendError};
@@ -42,7 +42,7 @@
 pub(super) async fn open(
     shared: &GatewayShared,
     request: &CallerRequest,
-    sending: &Sending,
+    sending: &Attempt,
     after: Option<u64>,
 ) -> Result<(Response<Incoming>, Connection), Outcome> {
     let started = Instant::now();
@@ -77,7 +77,7 @@
 fn outgoing(
     shared: &GatewayShared,
     request: &CallerRequest,
-    sending: &Sending,
+    sending: &Attempt,
 ) -> Request<Full<Bytes>> {
     let mut outgoing = Request::new(Full::new(request.body.clone()));
     *outgoing.method_mut() = request.head.method.clone();
--- a/src/gateway/shell/control.rs
+++ b/src/gateway/shell/control.rs
@@ -10,9 +10,9 @@
 use crate::gateway::dispatch::Dispatcher;
 use crate::gateway::dispatch::action::{Action, Command};
 use crate::gateway::dispatch::event::{Event, RequestNumber};
-use crate::gateway::shell::copies::Wanted;
 use crate::gateway::shell::input::Input;
-use crate::gateway::shell::{GatewayShared, copies, peers, probes};
+use crate::gateway::shell::snapshots::Wanted;
+use crate::gateway::shell::{GatewayShared, peers, probes, snapshots};
 
 /// The control thread's own state.
 pub struct Control {
@@ -111,12 +111,12 @@
                 let locating = probes::locate(request, part, among, self.shared.clone());
                 self.traffic.spawn(locating);
             }
-            Action::CopyRun {
+            Action::TakeSnapshot {
                 request,
                 attempt,
                 run,
                 engine,
-                holder,
+                host,
                 to,
                 limit,
             } => {
@@ -125,14 +125,14 @@
                     attempt,
                     run,
                     engine,
-                    holder,
+                    host,
                     to,
                 };
-                let copying = copies::copy(wanted, limit, self.shared.clone());
+                let copying = snapshots::take(wanted, limit, self.shared.clone());
                 self.traffic.spawn(copying);
             }
-            Action::DropCopy { engine, name } => {
-                let dropping = copies::drop_copy(engine, name, self.shared.clone());
+            Action::DropSnapshot { engine, name } => {
+                let dropping = snapshots::discard(engine, name, self.shared.clone());
                 self.traffic.spawn(dropping);
             }
             Action::AskIdentity { spec, path } => {
@@ -143,13 +143,13 @@
                 let identifying = probes::identify(spec, self.shared.clone());
                 self.traffic.spawn(identifying);
             }
-            Action::ReadStore(is_reader) => self.shared.set_reading(is_reader),
+            Action::WatchStore(is_watching) => self.shared.set_watching_store(is_watching),
             Action::Gossip { to, state } => {
                 let telling = peers::tell(Arc::clone(&self.gossip), to, *state);
                 self.traffic.spawn(telling);
             }
-            Action::TellUsage { to, news } => {
-                let telling = peers::tell_usage(Arc::clone(&self.gossip), to, news);
+            Action::GossipUsage { to, news } => {
+                let telling = peers::send_usage(Arc::clone(&self.gossip), to, news);
                 self.traffic.spawn(telling);
             }
             Action::FetchState { from, kind, wanted } => {
--- a/src/gateway/shell/dialect.rs
+++ b/src/gateway/shell/dialect.rs
@@ -8,8 +8,8 @@
 use gotham::hyper::http::{request, response};
 use gotham::hyper::{HeaderMap, StatusCode};
 
-use crate::gateway::dispatch::action::{Refusal, Sending};
-use crate::gateway::dispatch::event::{Arrival, CopyName, EndpointSpec, NotRunCause};
+use crate::gateway::dispatch::action::{Attempt, Refusal};
+use crate::gateway::dispatch::event::{Arrival, EndpointSpec, NotRunCause, SnapshotName};
 use crate::gateway::dispatch::table::{RoutingTable, TableError};
 use crate::schema::EndpointId;
 
@@ -75,7 +75,7 @@
     fn refusal(&self, id: &str, refusal: Refusal) -> (StatusCode, HeaderMap);
 
     /// The headers with which a request goes to an endpoint.
-    fn request_headers(&self, caller: &HeaderMap, id: &str, sending: &Sending) -> HeaderMap;
+    fn request_headers(&self, caller: &HeaderMap, id: &str, sending: &Attempt) -> HeaderMap;
 
     /// Judges the head of an endpoint's answer.
     fn judge(&self, head: &response::Parts, id: &str) -> AnswerKind;
@@ -90,13 +90,13 @@
     fn is_engine(&self, body: &[u8]) -> bool;
 
     /// The path and body with which an engine is asked to copy the memory of a run.
-    fn copy_request(&self, run: &str, to: SocketAddr) -> (&'static str, String);
+    fn snapshot_request(&self, run: &str, to: SocketAddr) -> (&'static str, String);
 
     /// Reads the name of the copy that was made.
-    fn read_copy(&self, body: &[u8]) -> Option<CopyName>;
+    fn read_snapshot(&self, body: &[u8]) -> Option<SnapshotName>;
 
     /// The path whose deletion drops a copy.
-    fn drop_copy_path(&self, name: &CopyName) -> String;
+    fn drop_snapshot_path(&self, name: &SnapshotName) -> String;
 
     /// The path at which an engine tells which parts of prompts it keeps.
     fn cache_path(&self) -> &'static str;
--- a/src/gateway/shell/exchange.rs
+++ b/src/gateway/shell/exchange.rs
@@ -14,12 +14,12 @@
 use http_body_util::{BodyExt, StreamBody};
 use tokio::sync::{mpsc, oneshot};
 
-use crate::gateway::dispatch::action::{Command, Refusal, Sending};
-use crate::gateway::dispatch::event::{Event, Fault, Outcome, RequestNumber, Try};
+use crate::gateway::dispatch::action::{Attempt, Command, Refusal};
+use crate::gateway::dispatch::event::{AttemptNumber, Event, Fault, Outcome, RequestNumber};
+use crate::gateway::shell::attempt::{CallerRequest, Held, hold, open};
 use crate::gateway::shell::dialect::AnswerKind;
 use crate::gateway::shell::events::EventCutter;
 use crate::gateway::shell::input::Input;
-use crate::gateway::shell::sending::{CallerRequest, Held, hold, open};
 use crate::gateway::shell::{GatewayShared, headers};
 use crate::http::pool::Connection;
 use crate::http::{self, EVENT_STREAM};
@@ -113,7 +113,7 @@
                         return;
                     }
                 }
-                Command::StopSending(_) => {}
+                Command::StopAttempt(_) => {}
                 Command::Deliver => return self.deliver(),
                 Command::Finish => return self.finish().await,
                 Command::Refuse(refusal) => return self.refuse(refusal),
@@ -128,7 +128,7 @@
             biased;
             command = self.commands.recv() => command,
             () = caller.gone() => {
-                self.tell_gone().await;
+                self.report_gone().await;
                 None
             }
         }
@@ -138,16 +138,16 @@
         self.shared.tell(Input::Event(event)).await;
     }
 
-    async fn tell_gone(&self) {
+    async fn report_gone(&self) {
         self.tell(Event::CallerGone(self.number)).await;
     }
 
     /// Makes one sending; returns whether the exchange goes on.
-    async fn send(&mut self, sending: Sending) -> bool {
+    async fn send(&mut self, sending: Attempt) -> bool {
         match self.attempt(&sending).await {
             Left::Stopped => true,
             Left::CallerGone => {
-                self.tell_gone().await;
+                self.report_gone().await;
                 false
             }
             Left::Ended(outcome) => {
@@ -162,7 +162,7 @@
         }
     }
 
-    async fn attempt(&mut self, sending: &Sending) -> Left {
+    async fn attempt(&mut self, sending: &Attempt) -> Left {
         let shared = self.shared.clone();
         let request = Arc::clone(&self.request);
         let after = self.last_event;
@@ -208,7 +208,7 @@
     /// Runs a part of a sending unless the dispatcher stops it or the caller goes away.
     async fn unless_left<T>(
         &mut self,
-        attempt: Try,
+        attempt: AttemptNumber,
         part: impl Future<Output = T>,
     ) -> Result<T, Left> {
         tokio::pin!(part);
@@ -219,7 +219,7 @@
             tokio::select! {
                 biased;
                 command = self.commands.recv() => match command {
-                    Some(Command::StopSending(stopped)) if stopped == attempt => return Err(Left::Stopped),
+                    Some(Command::StopAttempt(stopped)) if stopped == attempt => return Err(Left::Stopped),
                     Some(_) => {}
                     None => return Err(Left::CallerGone),
                 },
@@ -232,7 +232,7 @@
     /// Passes a stream on until it ends.
     async fn pump(
         &mut self,
-        sending: &Sending,
+        sending: &Attempt,
         headers: &HeaderMap,
         mut body: Incoming,
         connection: Connection,
@@ -268,7 +268,7 @@
     /// Passes on the whole events that have come and tells of the last of them.
     async fn pass_events(
         &mut self,
-        attempt: Try,
+        attempt: AttemptNumber,
         headers: &HeaderMap,
         cutter: &mut EventCutter,
     ) -> Result<(), Left> {
@@ -311,7 +311,12 @@
         }
     }
 
-    async fn pass(&mut self, attempt: Try, headers: &HeaderMap, bytes: Bytes) -> Result<(), Left> {
+    async fn pass(
+        &mut self,
+        attempt: AttemptNumber,
+        headers: &HeaderMap,
+        bytes: Bytes,
+    ) -> Result<(), Left> {
         let events = self.begin_stream(headers).ok_or(Left::CallerGone)?;
         let sent = events.send(Part::Event(bytes));
         match self.unless_left(attempt, sent).await? {
--- a/src/gateway/shell/front.rs
+++ b/src/gateway/shell/front.rs
@@ -15,9 +15,9 @@
 
 use crate::gateway::dispatch::event::RequestNumber;
 use crate::gateway::shell::GatewayShared;
+use crate::gateway::shell::attempt::CallerRequest;
 use crate::gateway::shell::exchange::Exchange;
 use crate::gateway::shell::input::Input;
-use crate::gateway::shell::sending::CallerRequest;
 use crate::http::{self, BodyError};
 
 /// The greatest body that is read before there is a configuration, in bytes.
--- a/src/gateway/shell/peers.rs
+++ b/src/gateway/shell/peers.rs
@@ -40,7 +40,7 @@
 }
 
 /// Tells other boxes what this one has just sent to endpoints.
-pub async fn tell_usage(socket: Arc<UdpSocket>, to: Vec<SocketAddr>, news: UsageNews) {
+pub async fn send_usage(socket: Arc<UdpSocket>, to: Vec<SocketAddr>, news: UsageNews) {
     send(&socket, &to, USAGE, &news).await;
 }
 
--- a/src/gateway/shell/shared.rs
+++ b/src/gateway/shell/shared.rs
@@ -11,12 +11,12 @@
 use crate::gateway::dispatch::action::{Refusal, RefusalReason};
 use crate::gateway::dispatch::table::{CallerLimits, RoutingTable, TableVersion};
 use crate::gateway::settings::GatewaySettings;
-use crate::gateway::shell::decisions::DecisionLog;
+use crate::gateway::shell::decision_log::DecisionLog;
 use crate::gateway::shell::dialect::{Dialect, Entry};
 use crate::gateway::shell::headers;
 use crate::gateway::shell::input::Input;
-use crate::gateway::shell::known::Known;
 use crate::gateway::shell::metrics::GatewayMetrics;
+use crate::gateway::shell::store_cache::Known;
 use crate::http::pool::Pool;
 use crate::listen::DaemonError;
 use crate::schema::{StateReply, StateRequest};
@@ -133,18 +133,18 @@
     }
 
     /// Begins or ceases to read the platform's store.
-    pub fn set_reading(&self, is_reader: bool) {
-        self.reading.send_replace(is_reader);
+    pub fn set_watching_store(&self, is_watching: bool) {
+        self.reading.send_replace(is_watching);
     }
 
     /// Waits until this box reads the platform's store; returns whether that took a while.
-    pub async fn until_reading(&self) -> bool {
+    pub async fn until_watching_store(&self) -> bool {
         let mut reading = self.reading.subscribe();
         if *reading.borrow() {
             return false;
         }
         // It fails only when the sender is gone, and this holds one.
-        let _ = reading.wait_for(|is_reader| *is_reader).await;
+        let _ = reading.wait_for(|is_watching| *is_watching).await;
         true
     }
 
--- a/src/gateway/shell/copies.rs
+++ b/src/gateway/shell/snapshots.rs
@@ -8,7 +8,7 @@
 use gotham::hyper::{Method, Request, StatusCode};
 use http_body_util::Full;
 
-use crate::gateway::dispatch::event::{CopyName, Event, RequestNumber, Try};
+use crate::gateway::dispatch::event::{AttemptNumber, Event, RequestNumber, SnapshotName};
 use crate::gateway::shell::GatewayShared;
 use crate::gateway::shell::input::Input;
 use crate::http::pool::Pool;
@@ -25,45 +25,45 @@
     /// The request.
     pub request: RequestNumber,
     /// The sending whose run it is.
-    pub attempt: Try,
+    pub attempt: AttemptNumber,
     /// The id by which the engine knows the run.
     pub run: String,
     /// The engine's address.
     pub engine: SocketAddr,
     /// The endpoint that is to hold the copy.
-    pub holder: EndpointId,
-    /// The holder's address.
+    pub host: EndpointId,
+    /// The host's address.
     pub to: SocketAddr,
 }
 
 /// Has an engine copy the memory of a run and tells what came of it.
-pub async fn copy(wanted: Wanted, limit: Duration, shared: GatewayShared) {
+pub async fn take(wanted: Wanted, limit: Duration, shared: GatewayShared) {
     let asked = tokio::time::timeout(limit, ask(&wanted, limit, &shared)).await;
-    let event = Event::Copied {
+    let event = Event::SnapshotTaken {
         request: wanted.request,
         attempt: wanted.attempt,
-        holder: wanted.holder,
+        host: wanted.host,
         name: asked.ok().flatten(),
     };
     shared.tell(Input::Event(event)).await;
 }
 
-async fn ask(wanted: &Wanted, limit: Duration, shared: &GatewayShared) -> Option<CopyName> {
-    let (path, body) = shared.dialect.copy_request(&wanted.run, wanted.to);
+async fn ask(wanted: &Wanted, limit: Duration, shared: &GatewayShared) -> Option<SnapshotName> {
+    let (path, body) = shared.dialect.snapshot_request(&wanted.run, wanted.to);
     let mut request = Request::new(Full::new(Bytes::from(body)));
     *request.method_mut() = Method::POST;
     *request.uri_mut() = path.parse().ok()?;
     let json = HeaderValue::from_static("application/json");
     request.headers_mut().insert(CONTENT_TYPE, json);
     let body = exchange(wanted.engine, request, limit, shared).await?;
-    shared.dialect.read_copy(&body)
+    shared.dialect.read_snapshot(&body)
 }
 
 /// Has an engine drop a copy; one that can't be reached forgets it by itself.
-pub async fn drop_copy(engine: SocketAddr, name: CopyName, shared: GatewayShared) {
+pub async fn discard(engine: SocketAddr, name: SnapshotName, shared: GatewayShared) {
     let mut request = Request::new(Full::new(Bytes::new()));
     *request.method_mut() = Method::DELETE;
-    let Ok(path) = shared.dialect.drop_copy_path(&name).parse() else {
+    let Ok(path) = shared.dialect.drop_snapshot_path(&name).parse() else {
         return;
     };
     *request.uri_mut() = path;
--- a/src/gateway/shell/store.rs
+++ b/src/gateway/shell/store.rs
@@ -36,7 +36,7 @@
     let mut link = StoreLink::default();
     let mut was_reached = false;
     loop {
-        if shared.until_reading().await {
+        if shared.until_watching_store().await {
             // Others have read meanwhile; only a list tells where to watch from.
             watcher = Watcher::default();
         }
--- a/tests/copies.rs
+++ b/tests/copies.rs
@@ -6,12 +6,12 @@
 use std::sync::Arc;
 
 use fixtures::{
-    GENEROUS, STREAMS, World, changed, domain_of, endpoint, endpoints, listed, records, sending,
-    table,
+    GENEROUS, STREAMS, World, changed, domain_of, endpoint, endpoints, first_attempt, listed,
+    records, table,
 };
-use magpiemoor::gateway::dispatch::action::{Action, Sending};
+use magpiemoor::gateway::dispatch::action::{Action, Attempt};
 use magpiemoor::gateway::dispatch::event::{
-    CopyName, EndpointChange, Event, Fault, NotRunCause, Outcome, RequestNumber,
+    EndpointChange, Event, Fault, NotRunCause, Outcome, RequestNumber, SnapshotName,
 };
 use magpiemoor::gateway::dispatch::record::Record;
 use magpiemoor::schema::EndpointId;
@@ -28,14 +28,14 @@
 /// The holders that engines were asked to copy runs to.
 fn wanted(actions: &[Action]) -> Vec<EndpointId> {
     let holders = actions.iter().filter_map(|action| match action {
-        Action::CopyRun { holder, .. } => Some(holder.clone()),
+        Action::TakeSnapshot { host: holder, .. } => Some(holder.clone()),
         _ => None,
     });
     holders.collect()
 }
 
 fn dropped(actions: &[Action]) -> usize {
-    let is_drop = |action: &&Action| matches!(action, Action::DropCopy { .. });
+    let is_drop = |action: &&Action| matches!(action, Action::DropSnapshot { .. });
     actions.iter().filter(is_drop).count()
 }
 
@@ -44,7 +44,7 @@
 }
 
 /// Streams for a while, an event each 25 ms; returns what was done meanwhile.
-fn stream(world: &mut World, request: RequestNumber, run: &Sending, millis: u64) -> Vec<Action> {
+fn stream(world: &mut World, request: RequestNumber, run: &Attempt, millis: u64) -> Vec<Action> {
     let mut done = Vec::new();
     for step in 0..millis / 25 {
         world.progress(request, run.attempt, 100 + step);
@@ -54,26 +54,26 @@
 }
 
 /// A stream that runs, and the holder that its engine copies it to.
-fn streaming() -> (World, RequestNumber, Sending, EndpointId) {
+fn streaming() -> (World, RequestNumber, Attempt, EndpointId) {
     let mut world = World::ready();
     let (request, run) = world.arrive(STREAMS);
     let run = run.unwrap();
     world.progress(request, run.attempt, 1);
-    let holder = at_port(run.backup_to.unwrap().port());
+    let holder = at_port(run.mirror_to.unwrap().port());
     (world, request, run, holder)
 }
 
-fn copied(request: RequestNumber, run: &Sending, holder: &EndpointId, name: Option<&str>) -> Event {
-    Event::Copied {
+fn copied(request: RequestNumber, run: &Attempt, holder: &EndpointId, name: Option<&str>) -> Event {
+    Event::SnapshotTaken {
         request,
         attempt: run.attempt,
-        holder: holder.clone(),
-        name: name.map(|name| CopyName(name.to_owned())),
+        host: holder.clone(),
+        name: name.map(|name| SnapshotName(name.to_owned())),
     }
 }
 
 /// A stream whose first holder has gone, and the one that holds a copy in its place.
-fn with_another_copy() -> (World, RequestNumber, Sending, EndpointId) {
+fn with_another_copy() -> (World, RequestNumber, Attempt, EndpointId) {
     let (mut world, request, run, holder) = streaming();
     world.handle(gone(&holder));
     let done = stream(&mut world, request, &run, 400);
@@ -104,7 +104,7 @@
 fn a_run_that_has_read_nothing_yet_is_not_copied() {
     let mut world = World::ready();
     let (_, run) = world.arrive(STREAMS);
-    let holder = at_port(run.unwrap().backup_to.unwrap().port());
+    let holder = at_port(run.unwrap().mirror_to.unwrap().port());
     world.handle(gone(&holder));
     assert_eq!(wanted(&world.run(300)), Vec::<EndpointId>::new());
 }
@@ -113,14 +113,14 @@
 fn a_stream_goes_on_from_the_copy_that_was_asked_for() {
     let (mut world, request, run, second) = with_another_copy();
     world.end(request, run.attempt, CLOSED);
-    let next = sending(&world.actions).unwrap();
+    let next = first_attempt(&world.actions).unwrap();
     assert_eq!(next.endpoint, second);
     let from = next.resume_from.unwrap();
     assert_eq!(
         from.address, run.address,
         "it is named by the engine that made it"
     );
-    assert_eq!(from.name, Some(CopyName("copy-1".to_owned())));
+    assert_eq!(from.name, Some(SnapshotName("copy-1".to_owned())));
 }
 
 #[rstest]
@@ -137,7 +137,7 @@
     world.handle(listed(near.collect()));
     let (request, run) = world.arrive(STREAMS);
     let run = run.unwrap();
-    let first = at_port(run.backup_to.unwrap().port());
+    let first = at_port(run.mirror_to.unwrap().port());
     world.progress(request, run.attempt, 1);
     world.handle(listed(endpoints()));
     let done = stream(&mut world, request, &run, 400);
@@ -145,13 +145,13 @@
     assert_eq!(domain_of(&second), "south");
     world.handle(copied(request, &run, &second, Some("copy-1")));
     world.end(request, run.attempt, CLOSED);
-    let next = sending(&world.actions).unwrap();
+    let next = first_attempt(&world.actions).unwrap();
     assert_eq!(
         next.endpoint, second,
         "the one that stands better comes first"
     );
     world.end(request, next.attempt, outcome);
-    let last = sending(&world.actions).unwrap();
+    let last = first_attempt(&world.actions).unwrap();
     assert_eq!(last.endpoint, first);
     assert!(last.resume_from.is_some());
 }
@@ -209,7 +209,7 @@
     world.pass(4_500);
     world.progress(request, next, 900);
     world.end(request, next, CLOSED);
-    let sent = sending(&world.actions).unwrap();
+    let sent = first_attempt(&world.actions).unwrap();
     assert_eq!(sent.resume_from, None, "{second} keeps it no longer");
     next = sent.attempt;
     world.end(request, next, CLOSED);
@@ -237,7 +237,7 @@
     // Another request meets the holder and its connection breaks.
     while sent.endpoint != holder {
         world.end(other, sent.attempt, Outcome::NotRun(NotRunCause::NoRoom));
-        sent = sending(&world.actions).unwrap();
+        sent = first_attempt(&world.actions).unwrap();
     }
     world.end(other, sent.attempt, CLOSED);
     let done = stream(&mut world, request, &run, 600);
@@ -271,11 +271,11 @@
 fn a_lost_run_is_gone_on_from_the_copy_of_the_run_before() {
     let (mut world, request, run, second) = with_another_copy();
     world.end(request, run.attempt, CLOSED);
-    let resumed = sending(&world.actions).unwrap();
+    let resumed = first_attempt(&world.actions).unwrap();
     assert_eq!(resumed.endpoint, second);
     // It is lost before it has made an event: nothing of it was copied, so the prompt is read.
     world.end(request, resumed.attempt, CLOSED);
-    let third = sending(&world.actions).unwrap();
+    let third = first_attempt(&world.actions).unwrap();
     assert_eq!(third.resume_from, None);
 }
 
--- a/tests/dispatch.rs
+++ b/tests/dispatch.rs
@@ -8,14 +8,15 @@
 
 use fixtures::{
     GENEROUS, KEY, PAYMENTS, QUOTES, STREAMS, World, changed, commands, config, domain_of,
-    endpoint, endpoints, listed, probes, records, refusal, sending, split_table, table, table_of,
+    endpoint, endpoints, first_attempt, listed, probes, records, refusal, split_table, table,
+    table_of,
 };
 use magpiemoor::gateway::dispatch::Dispatcher;
 use magpiemoor::gateway::dispatch::action::{Action, Command, RefusalReason};
-use magpiemoor::gateway::dispatch::budget::RetryPolicy;
 use magpiemoor::gateway::dispatch::event::{EndpointChange, Event, Fault, NotRunCause, Outcome};
 use magpiemoor::gateway::dispatch::peers::FetchKind;
 use magpiemoor::gateway::dispatch::record::Record;
+use magpiemoor::gateway::dispatch::retry_budget::RetryPolicy;
 use magpiemoor::gateway::dispatch::table::TableVersion;
 use magpiemoor::schema::{BoxState, Incarnation, Micros, StoreReader};
 use rstest::rstest;
@@ -77,10 +78,13 @@
     assert!(sent.is_none());
     world.run(100);
     world.handle(Event::Table(Arc::new(table(1))));
-    assert!(sending(&world.actions).is_none(), "no endpoint is known");
+    assert!(
+        first_attempt(&world.actions).is_none(),
+        "no endpoint is known"
+    );
     assert_eq!(refusal(&world.actions), None);
     world.handle(listed(endpoints()));
-    assert!(sending(&world.actions).is_some());
+    assert!(first_attempt(&world.actions).is_some());
     assert_eq!(refusal(&world.run(450)), None);
 }
 
@@ -93,7 +97,7 @@
     assert_eq!(world.dispatcher.active(), 0);
     world.handle(Event::Table(Arc::new(table(1))));
     world.handle(listed(endpoints()));
-    assert!(sending(&world.actions).is_none());
+    assert!(first_attempt(&world.actions).is_none());
 }
 
 #[test]
@@ -137,7 +141,7 @@
     let (request, first) = world.arrive(PAYMENTS);
     let first = first.unwrap();
     world.end(request, first.attempt, outcome);
-    let second = sending(&world.actions).unwrap();
+    let second = first_attempt(&world.actions).unwrap();
     assert_ne!(second.endpoint, first.endpoint);
 }
 
@@ -150,7 +154,7 @@
     let (request, first) = world.arrive(PAYMENTS);
     world.end(request, first.unwrap().attempt, outcome);
     assert_eq!(refusal(&world.actions), Some(RefusalReason::EndpointFailed));
-    assert!(sending(&world.actions).is_none());
+    assert!(first_attempt(&world.actions).is_none());
 }
 
 #[test]
@@ -167,7 +171,7 @@
     let mut world = World::ready();
     let (request, first) = world.arrive(QUOTES);
     world.end(request, first.unwrap().attempt, answered(500));
-    let second = sending(&world.actions).unwrap();
+    let second = first_attempt(&world.actions).unwrap();
     world.end(request, second.attempt, answered(500));
     assert_eq!(commands(&world.actions), vec![&Command::Deliver]);
 }
@@ -186,7 +190,7 @@
     for _ in 0..100 {
         let (request, first) = world.arrive(QUOTES);
         world.end(request, first.unwrap().attempt, answered(500));
-        if let Some(second) = sending(&world.actions) {
+        if let Some(second) = first_attempt(&world.actions) {
             retried += 1;
             world.end(request, second.attempt, answered(200));
         }
@@ -206,7 +210,7 @@
     );
     world.pass(100);
     world.end(request, first.unwrap().attempt, CLOSED);
-    let second = sending(&world.actions).unwrap();
+    let second = first_attempt(&world.actions).unwrap();
     assert_eq!(second.time_left, Duration::from_millis(200));
     let (_, other) = world.arrive(QUOTES);
     assert_eq!(other.unwrap().time_left, Duration::from_millis(800));
@@ -218,7 +222,7 @@
     let (_, first) = world.arrive(STREAMS);
     let first = first.unwrap();
     assert_eq!(domain_of(&first.endpoint), "north");
-    let backup = first.backup_to.unwrap();
+    let backup = first.mirror_to.unwrap();
     assert!([9_003, 9_004].contains(&backup.port()), "{backup}");
 }
 
@@ -230,11 +234,11 @@
     world.progress(request, first.attempt, 1);
     world.progress(request, first.attempt, 12);
     world.end(request, first.attempt, CLOSED);
-    let second = sending(&world.actions).unwrap();
-    assert_eq!(Some(second.address), first.backup_to);
+    let second = first_attempt(&world.actions).unwrap();
+    assert_eq!(Some(second.address), first.mirror_to);
     assert_eq!(second.resume_from.unwrap().address, second.address);
     assert_eq!(second.after_event, Some(12));
-    assert_ne!(second.backup_to, Some(first.address));
+    assert_ne!(second.mirror_to, Some(first.address));
 }
 
 #[test]
@@ -243,7 +247,7 @@
     let (request, first) = world.arrive(STREAMS);
     let first = first.unwrap();
     world.end(request, first.attempt, CLOSED);
-    let second = sending(&world.actions).unwrap();
+    let second = first_attempt(&world.actions).unwrap();
     assert_eq!(second.resume_from, None);
 }
 
@@ -254,9 +258,9 @@
     let first = first.unwrap();
     world.progress(request, first.attempt, 3);
     world.end(request, first.attempt, CLOSED);
-    let second = sending(&world.actions).unwrap();
+    let second = first_attempt(&world.actions).unwrap();
     world.end(request, second.attempt, NOT_RUN);
-    let third = sending(&world.actions).unwrap();
+    let third = first_attempt(&world.actions).unwrap();
     assert_eq!(third.resume_from, None);
     assert_eq!(third.after_event, Some(3));
     assert_ne!(third.endpoint, second.endpoint);
@@ -272,9 +276,9 @@
     assert_eq!(probes(&done), vec![first.endpoint.clone()]);
     world.pass(150);
     world.probed(&first.endpoint, false);
-    let second = sending(&world.actions).unwrap();
-    assert_eq!(Some(second.address), first.backup_to);
-    assert!(commands(&world.actions).contains(&&Command::StopSending(first.attempt)));
+    let second = first_attempt(&world.actions).unwrap();
+    assert_eq!(Some(second.address), first.mirror_to);
+    assert!(commands(&world.actions).contains(&&Command::StopAttempt(first.attempt)));
 }
 
 #[test]
@@ -285,9 +289,9 @@
     world.progress(request, first.attempt, 1);
     for _ in 0..20 {
         let done = world.run(200);
-        assert!(sending(&done).is_none());
+        assert!(first_attempt(&done).is_none());
         world.probed(&first.endpoint, true);
-        assert!(sending(&world.actions).is_none());
+        assert!(first_attempt(&world.actions).is_none());
     }
 }
 
@@ -301,7 +305,7 @@
     world.pass(50);
     world.progress(request, first.attempt, 2);
     world.probed(&first.endpoint, false);
-    assert!(sending(&world.actions).is_none());
+    assert!(first_attempt(&world.actions).is_none());
 }
 
 #[test]
@@ -312,7 +316,7 @@
     world.progress(request, first.attempt, 5);
     world.run(200);
     world.probed(&first.endpoint, false);
-    let second = sending(&world.actions).unwrap();
+    let second = first_attempt(&world.actions).unwrap();
     world.end(request, first.attempt, Outcome::StreamEnded);
     assert!(world.actions.is_empty());
     world.end(request, second.attempt, Outcome::StreamEnded);
@@ -338,7 +342,7 @@
     let after = after.unwrap();
     assert_eq!(domain_of(&after.endpoint), "south");
     // A copy would be lost with the domain: the only other engine of the south has to do.
-    assert!([9_003, 9_004].contains(&after.backup_to.unwrap().port()));
+    assert!([9_003, 9_004].contains(&after.mirror_to.unwrap().port()));
 }
 
 #[test]
@@ -441,7 +445,7 @@
         request,
         endpoint: Some(keeper),
     });
-    let sent = sending(&world.actions).unwrap();
+    let sent = first_attempt(&world.actions).unwrap();
     assert_eq!(sent.endpoint.as_str(), "engine-s2");
     assert_eq!(sent.after_event, Some(40));
 }
@@ -456,7 +460,7 @@
         request,
         endpoint: None,
     });
-    assert!(sending(&world.actions).is_some());
+    assert!(first_attempt(&world.actions).is_some());
 }
 
 #[test]
@@ -607,7 +611,7 @@
     let spec = spec.unwrap();
     assert_eq!(spec.id.as_str(), "engine-n1b");
     world.handle(Event::Identified(spec));
-    let sent = sending(&world.run(60)).unwrap();
+    let sent = first_attempt(&world.run(60)).unwrap();
     assert_eq!(sent.endpoint.as_str(), "engine-n1b");
 }
 
@@ -627,17 +631,17 @@
     world.handle(Event::Table(Arc::new(table(1))));
     let far = (0..20).map(|n| endpoint(&format!("engine-s{n}"), "engines", "south", 9_300 + n));
     world.handle(listed(far.collect()));
-    let mut sendings = 0;
+    let mut attempts = 0;
     for _ in 0..30 {
         world.pass(10);
         let (request, mut sent) = world.arrive(STREAMS);
         while let Some(sending_now) = sent {
-            sendings += 1;
+            attempts += 1;
             world.end(request, sending_now.attempt, Outcome::NotSent);
-            sent = sending(&world.actions);
+            sent = first_attempt(&world.actions);
         }
     }
-    assert!(sendings <= 6, "{sendings} sendings in 300 ms");
+    assert!(attempts <= 6, "{attempts} attempts in 300 ms");
 }
 
 #[test]
@@ -646,7 +650,7 @@
     let (_, quote) = world.arrive(QUOTES);
     let (_, payment) = world.arrive(PAYMENTS);
     let done = world.run(90);
-    let second = sending(&done).unwrap();
+    let second = first_attempt(&done).unwrap();
     assert_ne!(second.endpoint, quote.unwrap().endpoint);
     let sent = commands(&done)
         .into_iter()
@@ -665,7 +669,7 @@
 
 fn reads_store(actions: &[Action]) -> Option<bool> {
     actions.iter().find_map(|action| match action {
-        Action::ReadStore(is_reader) => Some(*is_reader),
+        Action::WatchStore(is_watching) => Some(*is_watching),
         _ => None,
     })
 }
@@ -749,7 +753,7 @@
     let done = world.run(500);
     let began = done
         .iter()
-        .position(|a| matches!(a, Action::ReadStore(true)));
+        .position(|a| matches!(a, Action::WatchStore(true)));
     let claims = done[began.unwrap()..]
         .iter()
         .filter_map(|action| match action {
@@ -787,7 +791,7 @@
         for (to, event) in events {
             for action in boxes[to].handle(now, event) {
                 match action {
-                    Action::ReadStore(true) => reading += 1,
+                    Action::WatchStore(true) => reading += 1,
                     Action::Gossip { to, state } => {
                         let numbers = to.iter().map(|address| match address.ip() {
                             std::net::IpAddr::V4(ip) => usize::from(ip.octets()[3]),
@@ -886,7 +890,7 @@
         instance: before.id.clone(),
     });
     let fleet = world.dispatcher.fleet();
-    assert!(!fleet.is_doubted(fleet.get(&before.id).unwrap(), world.now));
+    assert!(!fleet.is_suspected(fleet.get(&before.id).unwrap(), world.now));
     let other = named[1].clone();
     world.handle(Event::Named {
         endpoint: other.id.clone(),
@@ -906,7 +910,7 @@
     world.progress(request, first.attempt, 9);
     let holder = endpoints()
         .into_iter()
-        .find(|e| Some(e.address) == first.backup_to);
+        .find(|e| Some(e.address) == first.mirror_to);
     let mut holder = holder.unwrap();
     let id = holder.id.clone();
     holder.leaving = true;
@@ -917,7 +921,7 @@
     };
     world.handle(changed(vec![change]));
     world.end(request, first.attempt, CLOSED);
-    let second = sending(&world.actions).unwrap();
+    let second = first_attempt(&world.actions).unwrap();
     assert_ne!(second.endpoint, id);
     assert_eq!(second.resume_from, None);
 }
--- a/tests/gateway/fixtures.rs
+++ b/tests/gateway/fixtures.rs
@@ -6,14 +6,14 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use magpiemoor::gateway::dispatch::action::{Action, Command, RefusalReason, Sending};
-use magpiemoor::gateway::dispatch::budget::RetryPolicy;
+use magpiemoor::gateway::dispatch::action::{Action, Attempt, Command, RefusalReason};
 use magpiemoor::gateway::dispatch::event::{
-    Arrival, EndpointChange, EndpointSpec, Event, Outcome, RequestNumber, Tokens, Try,
+    Arrival, AttemptNumber, EndpointChange, EndpointSpec, Event, Outcome, RequestNumber, Tokens,
 };
 use magpiemoor::gateway::dispatch::record::Record;
+use magpiemoor::gateway::dispatch::retry_budget::RetryPolicy;
 use magpiemoor::gateway::dispatch::table::{
-    CallerLimits, EngineSpec, KeyHolder, Route, RouteKind, RoutingTable, ServiceSpec, TableParts,
+    CallerLimits, EngineSpec, KeyOwner, Route, RouteKind, RoutingTable, ServiceSpec, TableParts,
     TableVersion, Target,
 };
 use magpiemoor::gateway::dispatch::{DispatchConfig, Dispatcher};
@@ -86,9 +86,9 @@
                 health_path: "/healthz".to_owned(),
                 engine: Some(EngineSpec {
                     kv_tokens: 55_000,
-                    backups: true,
-                    moves: true,
-                    backup_kept: Duration::from_secs(4),
+                    mirrors: true,
+                    snapshots: true,
+                    replica_kept: Duration::from_secs(4),
                 }),
             },
             ServiceSpec {
@@ -99,7 +99,7 @@
         ],
         keys: Some(HashMap::from([(
             KEY.to_owned(),
-            KeyHolder {
+            KeyOwner {
                 organisation: "shop".parse().unwrap(),
             },
         )])),
@@ -220,18 +220,23 @@
     }
 
     /// Has a request arrive; returns its number and its first sending, if there is one.
-    pub fn arrive(&mut self, path: &str) -> (RequestNumber, Option<Sending>) {
+    pub fn arrive(&mut self, path: &str) -> (RequestNumber, Option<Attempt>) {
         let arrival = self.arrival(path);
         self.arrive_as(arrival)
     }
 
-    pub fn arrive_as(&mut self, arrival: Arrival) -> (RequestNumber, Option<Sending>) {
+    pub fn arrive_as(&mut self, arrival: Arrival) -> (RequestNumber, Option<Attempt>) {
         let request = RequestNumber(self.next);
         self.handle(Event::Arrived { request, arrival });
-        (request, sending(&self.actions))
+        (request, first_attempt(&self.actions))
     }
 
-    pub fn end(&mut self, request: RequestNumber, attempt: Try, outcome: Outcome) -> &[Action] {
+    pub fn end(
+        &mut self,
+        request: RequestNumber,
+        attempt: AttemptNumber,
+        outcome: Outcome,
+    ) -> &[Action] {
         self.handle(Event::Ended {
             request,
             attempt,
@@ -239,7 +244,7 @@
         })
     }
 
-    pub fn progress(&mut self, request: RequestNumber, attempt: Try, last_event: u64) {
+    pub fn progress(&mut self, request: RequestNumber, attempt: AttemptNumber, last_event: u64) {
         self.handle(Event::Progress {
             request,
             attempt,
@@ -255,7 +260,7 @@
     }
 }
 
-pub fn sending(actions: &[Action]) -> Option<Sending> {
+pub fn first_attempt(actions: &[Action]) -> Option<Attempt> {
     actions.iter().find_map(|action| match action {
         Action::Tell {
             command: Command::Send(sending),
--- a/tests/gateway_parts.rs
+++ b/tests/gateway_parts.rs
@@ -7,7 +7,7 @@
 use gotham::hyper::{HeaderMap, Uri, header};
 use magpiemoor::gateway::dispatch::record::Record;
 use magpiemoor::gateway::settings::{GatewaySettings, defaults};
-use magpiemoor::gateway::shell::decisions::DecisionLog;
+use magpiemoor::gateway::shell::decision_log::DecisionLog;
 use magpiemoor::gateway::shell::dialect::{Entry, Page};
 use magpiemoor::gateway::shell::events::{EventCutter, RawEvent};
 use magpiemoor::gateway::shell::headers;
--- a/tests/reach.rs
+++ b/tests/reach.rs
@@ -5,7 +5,7 @@
 
 use std::sync::Arc;
 
-use fixtures::{GENEROUS, PAYMENTS, World, endpoint, listed, sending, table};
+use fixtures::{GENEROUS, PAYMENTS, World, endpoint, first_attempt, listed, table};
 use magpiemoor::gateway::dispatch::event::{Event, Outcome};
 use magpiemoor::schema::{BoxState, Incarnation};
 
@@ -44,7 +44,7 @@
         let (request, mut sent) = world.arrive(PAYMENTS);
         while let Some(now) = sent {
             world.end(request, now.attempt, Outcome::NotSent);
-            sent = sending(&world.actions);
+            sent = first_attempt(&world.actions);
         }
         world.run(20);
     }
--- a/tests/usage.rs
+++ b/tests/usage.rs
@@ -45,7 +45,7 @@
 
 fn told(actions: &[Action]) -> Vec<(Vec<SocketAddr>, UsageNews)> {
     let told = actions.iter().filter_map(|action| match action {
-        Action::TellUsage { to, news } => Some((to.clone(), news.clone())),
+        Action::GossipUsage { to, news } => Some((to.clone(), news.clone())),
         _ => None,
     });
     told.collect()
@@ -60,7 +60,7 @@
     let fleet = world.dispatcher.fleet();
     let endpoint = fleet.get(&endpoint.parse().unwrap()).unwrap();
     let usage = fleet.usage(endpoint, world.now);
-    (usage.running, usage.reading)
+    (usage.running, usage.prefill)
 }
 
 #[test]
