--- a/lab/src/gateway/fleet.rs
+++ b/lab/src/gateway/fleet.rs
@@ -10,7 +10,8 @@
 use super::caller::connect;
 use super::server::{Copies, Pace, Server};
 use super::store::Store;
-use crate::process::{Process, free_ports};
+use crate::ports::free_ports;
+use crate::process::Process;
 
 /// The host of all routes.
 pub const HOST: &str = "shop.example";
--- a/lab/src/keyed/fleet.rs
+++ b/lab/src/keyed/fleet.rs
@@ -12,7 +12,7 @@
 };
 use serde_json::json;
 
-use crate::process::free_ports;
+use crate::ports::free_ports;
 
 /// The model that all engines of a fleet serve.
 pub const MODEL: &str = "drafter";
--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -9,4 +9,5 @@
 pub mod r#gen;
 pub mod journal;
 pub mod keyed;
+pub mod ports;
 pub mod process;
--- a/lab/src/process.rs
+++ b/lab/src/process.rs
@@ -1,9 +1,7 @@
 //! Processes that the laboratory starts, and ends whatever happens.
 
-use std::net::TcpListener;
 use std::path::Path;
 use std::process::{Child, Command, Stdio};
-use std::sync::atomic::{AtomicU32, Ordering};
 
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
@@ -100,35 +98,3 @@
         self.kill();
     }
 }
-
-/// The ports that are tried: below those that the system gives to outgoing connections, which could
-/// otherwise take the port of a process that is about to be started again.
-const PORTS: std::ops::Range<u16> = 10_000..32_000;
-/// How far apart the first ports of two processes lie.
-const PORTS_PER_PROCESS: u32 = 100;
-
-/// Finds ports of the loopback address that are free now; no two calls in a process get the same
-/// one before all have been tried.
-///
-/// # Errors
-///
-/// That there are none.
-pub fn free_ports(count: usize) -> std::io::Result<Vec<u16>> {
-    static TRIED: AtomicU32 = AtomicU32::new(0);
-    let all = u32::from(PORTS.end - PORTS.start);
-    let first = std::process::id() % (all / PORTS_PER_PROCESS) * PORTS_PER_PROCESS;
-    let mut ports = Vec::new();
-    for _ in 0..all {
-        if ports.len() == count {
-            return Ok(ports);
-        }
-        let place = (first + TRIED.fetch_add(1, Ordering::Relaxed)) % all;
-        let port = PORTS.start + place as u16;
-        if TcpListener::bind(("127.0.0.1", port)).is_ok() {
-            ports.push(port);
-        }
-    }
-    Err(std::io::Error::other(
-        "no free ports; end processes that listen",
-    ))
-}
