--- a/src/gateway/dispatch/action.rs
+++ b/src/gateway/dispatch/action.rs
@@ -10,7 +10,7 @@
 use crate::gateway::dispatch::replica::ReplicaLocation;
 use crate::schema::{BoxState, EndpointId, OrganisationId, StateRequest, UsageNews};
 
-/// One sending of a request.
+/// One attempt of a request at an endpoint.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Attempt {
     /// Which one.
@@ -25,9 +25,9 @@
     pub organisation: Option<OrganisationId>,
     /// The event after which the stream goes on.
     pub after_event: Option<u64>,
-    /// Where the memory of the run is to be copied.
+    /// The host of the mirror: where the engine copies its KV memory as it grows.
     pub mirror_to: Option<SocketAddr>,
-    /// The copy that this sending goes on from.
+    /// The replica that this attempt goes on from.
     pub resume_from: Option<ReplicaLocation>,
     /// How long to wait for a connection.
     pub connect_limit: Duration,
@@ -40,7 +40,7 @@
 pub enum Command {
     /// Send the request to an endpoint.
     Send(Box<Attempt>),
-    /// Close the connection of the running sending.
+    /// Close the connection of an attempt.
     StopAttempt(AttemptNumber),
     /// Pass on the answer that is held; the request is over.
     Deliver,
@@ -50,17 +50,36 @@
     Refuse(Refusal),
 }
 
+/// A snapshot that an engine is to take of an attempt's KV memory.
+#[derive(Clone, Debug, PartialEq)]
+pub struct SnapshotRequest {
+    /// The request.
+    pub request: RequestNumber,
+    /// The attempt.
+    pub attempt: AttemptNumber,
+    /// The caller's id, by which the engine knows the attempt.
+    pub run: String,
+    /// The engine's address.
+    pub engine: SocketAddr,
+    /// The endpoint that is to hold the snapshot.
+    pub host: EndpointId,
+    /// The host's address.
+    pub to: SocketAddr,
+    /// How long to wait.
+    pub limit: Duration,
+}
+
 /// Something a dispatcher wants done.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Tell the task of a request something.
+    /// Have the task of a request do something.
     Command {
         /// The request.
         request: RequestNumber,
         /// What.
         command: Command,
     },
-    /// Ask an endpoint how it stands.
+    /// Ask an endpoint for its load report, to see whether it answers.
     Probe {
         /// The endpoint.
         endpoint: EndpointId,
@@ -69,7 +88,7 @@
         /// How long to wait.
         limit: Duration,
     },
-    /// Ask endpoints which of them keeps a part of a prompt.
+    /// Ask engines which of them keeps a part of a prompt.
     Locate {
         /// The request.
         request: RequestNumber,
@@ -78,28 +97,13 @@
         /// Whom to ask.
         among: Vec<(EndpointId, SocketAddr)>,
     },
-    /// Have an engine copy the memory of a run, which goes on meanwhile.
-    TakeSnapshot {
-        /// The request.
-        request: RequestNumber,
-        /// The sending whose run it is.
-        attempt: AttemptNumber,
-        /// The caller's id, by which the engine knows the run.
-        run: String,
-        /// The engine's address.
-        engine: SocketAddr,
-        /// The endpoint that is to hold the copy.
-        host: EndpointId,
-        /// The holder's address.
-        to: SocketAddr,
-        /// How long to wait.
-        limit: Duration,
-    },
-    /// Have an engine drop a copy that is not needed any more.
+    /// Have an engine take a snapshot of an attempt, which goes on meanwhile.
+    TakeSnapshot(SnapshotRequest),
+    /// Have an engine drop a snapshot that is not needed any more.
     DropSnapshot {
         /// The engine's address.
         engine: SocketAddr,
-        /// The copy.
+        /// The snapshot.
         name: SnapshotName,
     },
     /// Ask what has an endpoint's address who it is.
@@ -111,20 +115,20 @@
     },
     /// Find out whether what has an address now is a model engine.
     Identify(EndpointSpec),
-    /// Begin or cease to read the platform's store.
+    /// Begin or cease to watch the platform's store.
     WatchStore(bool),
-    /// Tell other boxes how this one stands, by UDP.
+    /// Send this box's state to other boxes, by UDP.
     Gossip {
         /// Their addresses.
         to: Vec<SocketAddr>,
-        /// How this box stands.
+        /// The state of this box.
         state: Box<BoxState>,
     },
-    /// Tell other boxes what this one has just sent to endpoints, by UDP.
+    /// Tell other boxes of the attempts that this one has just made, by UDP.
     GossipUsage {
         /// Their addresses.
         to: Vec<SocketAddr>,
-        /// What was sent.
+        /// What runs there now.
         news: UsageNews,
     },
     /// Ask another box for what it read from the platform.
--- a/src/gateway/dispatch/replicas.rs
+++ b/src/gateway/dispatch/replicas.rs
@@ -18,7 +18,7 @@
 use std::time::Duration;
 
 use super::Dispatcher;
-use super::action::Action;
+use super::action::{Action, SnapshotRequest};
 use super::event::{AttemptNumber, RequestNumber, SnapshotName};
 use super::fleet::Endpoint;
 use super::record::Record;
@@ -211,7 +211,7 @@
         if is_new && let Some(endpoint) = self.fleet.get_mut(host) {
             endpoint.own.memory += memory;
         }
-        self.actions.push(Action::TakeSnapshot {
+        self.actions.push(Action::TakeSnapshot(SnapshotRequest {
             request: number,
             attempt,
             run: id,
@@ -219,7 +219,7 @@
             host: host.clone(),
             to,
             limit: SNAPSHOT_LIMIT,
-        });
+        }));
     }
 
     /// A snapshot was taken, or could not be.
--- a/src/gateway/shell.rs
+++ b/src/gateway/shell.rs
@@ -5,12 +5,12 @@
 //! [`dialect::Dialect`].
 
 pub mod attempt;
+pub mod callers;
 pub mod control;
 pub mod decision_log;
 pub mod dialect;
 pub mod events;
 pub mod exchange;
-pub mod front;
 pub mod headers;
 pub mod input;
 pub mod metrics;
@@ -38,7 +38,7 @@
 use crate::listen::{DaemonError, listen, listen_udp};
 use crate::schema::Incarnation;
 use control::Control;
-use dialect::{Dialect, Source};
+use dialect::{Dialect, ObjectKind};
 
 pub use shared::GatewayShared;
 
@@ -106,8 +106,8 @@
     let operators = operators::Operators::new(shared.clone());
     runtime.spawn(crate::http::serve(listeners.health, operators.clone()));
     runtime.spawn(crate::http::serve(listeners.metrics, operators));
-    runtime.spawn(store::follow(Source::Table, shared.clone()));
-    runtime.spawn(store::follow(Source::Endpoints, shared.clone()));
+    runtime.spawn(store::follow(ObjectKind::Table, shared.clone()));
+    runtime.spawn(store::follow(ObjectKind::Endpoints, shared.clone()));
     runtime.spawn(pool::sweep_resting(
         Arc::clone(&shared.pool),
         REST_BEFORE_CLOSE,
@@ -142,7 +142,7 @@
 }
 
 async fn serve_callers(listener: TcpListener, shared: GatewayShared) {
-    let front = front::Front::new(shared.clone());
+    let front = callers::Callers::new(shared.clone());
     let options = move || {
         let limits = shared.limits();
         ServeOptions {
--- a/src/gateway/shell/attempt.rs
+++ b/src/gateway/shell/attempt.rs
@@ -1,5 +1,8 @@
-//! One sending of a request to an endpoint: the connection, the head of the answer, and answers that
-//! are read whole.
+//! One attempt at an endpoint: the connection, the head of the answer, and answers that are read whole.
+//!
+//! A connection that has rested no longer than the attempt allows is used first; one that the endpoint had closed costs
+//! nothing, the request then goes on a new one. Relies on: [`crate::http::pool`], which tells a request that was never
+//! sent from one that may have been.
 
 use std::time::Instant;
 
@@ -14,13 +17,13 @@
 use crate::gateway::shell::{GatewayShared, headers};
 use crate::http::pool::{Connection, Pool, SendError};
 
-/// The greatest answer that is held whole, in bytes.
+/// The greatest answer that is held whole, in bytes. Chosen, not measured.
 const MOST_HELD: usize = 8 << 20;
 
 /// A request as the caller sent it.
 #[derive(Debug)]
 pub struct CallerRequest {
-    /// The caller's id of this sending.
+    /// The caller's id of this request.
     pub id: String,
     /// Its head.
     pub head: request::Parts,
@@ -42,25 +45,25 @@
 pub(super) async fn open(
     shared: &GatewayShared,
     request: &CallerRequest,
-    sending: &Attempt,
+    attempt: &Attempt,
     after: Option<u64>,
 ) -> Result<(Response<Incoming>, Connection), Outcome> {
     let started = Instant::now();
-    let mut sending = sending.clone();
-    sending.after_event = sending.after_event.max(after);
-    if let Some(mut connection) = shared.pool.take(sending.address, sending.longest_rest) {
-        match connection.send(outgoing(shared, request, &sending)).await {
+    let mut attempt = attempt.clone();
+    attempt.after_event = attempt.after_event.max(after);
+    if let Some(mut connection) = shared.pool.take(attempt.address, attempt.longest_rest) {
+        match connection.send(outgoing(shared, request, &attempt)).await {
             Ok(response) => return Ok((response, connection)),
             // It was closed before a byte of the request was written.
             Err(SendError::NotSent) => {}
             Err(e) => return Err(outcome_of(&e)),
         }
     }
-    let mut connection = Pool::connect(sending.address, sending.connect_limit)
+    let mut connection = Pool::connect(attempt.address, attempt.connect_limit)
         .await
         .map_err(|_| Outcome::NotSent)?;
-    sending.time_left = sending.time_left.saturating_sub(started.elapsed());
-    match connection.send(outgoing(shared, request, &sending)).await {
+    attempt.time_left = attempt.time_left.saturating_sub(started.elapsed());
+    match connection.send(outgoing(shared, request, &attempt)).await {
         Ok(response) => Ok((response, connection)),
         Err(e) => Err(outcome_of(&e)),
     }
@@ -77,7 +80,7 @@
 fn outgoing(
     shared: &GatewayShared,
     request: &CallerRequest,
-    sending: &Attempt,
+    attempt: &Attempt,
 ) -> Request<Full<Bytes>> {
     let mut outgoing = Request::new(Full::new(request.body.clone()));
     *outgoing.method_mut() = request.head.method.clone();
@@ -85,7 +88,7 @@
     *outgoing.headers_mut() =
         shared
             .dialect
-            .request_headers(&request.head.headers, &request.id, sending);
+            .request_headers(&request.head.headers, &request.id, attempt);
     outgoing
 }
 
--- a/src/gateway/shell/front.rs
+++ b/src/gateway/shell/callers.rs
@@ -27,11 +27,11 @@
 
 /// Serves callers.
 #[derive(Clone)]
-pub struct Front {
+pub struct Callers {
     shared: Arc<AssertUnwindSafe<GatewayShared>>,
 }
 
-impl Front {
+impl Callers {
     /// Makes the callers' face.
     #[must_use]
     pub fn new(shared: GatewayShared) -> Self {
@@ -41,7 +41,7 @@
     }
 }
 
-impl NewHandler for Front {
+impl NewHandler for Callers {
     type Instance = Self;
 
     fn new_handler(&self) -> anyhow::Result<Self> {
@@ -49,7 +49,7 @@
     }
 }
 
-impl Handler for Front {
+impl Handler for Callers {
     fn handle(self, mut state: State) -> Pin<Box<HandlerFuture>> {
         Box::pin(async move {
             let response = serve(&mut state, &self.shared).await;
@@ -95,7 +95,7 @@
         arrival,
         commands,
     };
-    shared.tell(input).await;
+    shared.send(input).await;
     tokio::spawn(exchange.run());
     replied
         .await
--- a/src/gateway/shell/control.rs
+++ b/src/gateway/shell/control.rs
@@ -1,4 +1,7 @@
 //! The control thread: owns the dispatcher, feeds it events, and has its actions carried out.
+//!
+//! It is the only thread that touches the dispatcher, so decisions are made one after the other. What takes time is spawned
+//! on the traffic threads, which report by [`super::input`].
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -11,7 +14,6 @@
 use crate::gateway::dispatch::action::{Action, Command};
 use crate::gateway::dispatch::event::{Event, RequestNumber};
 use crate::gateway::shell::input::Input;
-use crate::gateway::shell::snapshots::Wanted;
 use crate::gateway::shell::{GatewayShared, peers, probes, snapshots};
 
 /// The control thread's own state.
@@ -86,15 +88,12 @@
             self.shared
                 .set_table(self.dispatcher.table().cloned(), self.dispatcher.is_ready());
         }
-        self.shared
-            .metrics
-            .active
-            .set(i64::try_from(self.dispatcher.active()).unwrap_or(i64::MAX));
+        self.shared.set_active(self.dispatcher.active());
     }
 
     fn perform(&mut self, action: Action) {
         match action {
-            Action::Command { request, command } => self.tell(request, command),
+            Action::Command { request, command } => self.command(request, command),
             Action::Probe {
                 endpoint,
                 address,
@@ -111,25 +110,9 @@
                 let locating = probes::locate(request, part, among, self.shared.clone());
                 self.traffic.spawn(locating);
             }
-            Action::TakeSnapshot {
-                request,
-                attempt,
-                run,
-                engine,
-                host,
-                to,
-                limit,
-            } => {
-                let wanted = Wanted {
-                    request,
-                    attempt,
-                    run,
-                    engine,
-                    host,
-                    to,
-                };
-                let copying = snapshots::take(wanted, limit, self.shared.clone());
-                self.traffic.spawn(copying);
+            Action::TakeSnapshot(request) => {
+                let taking = snapshots::take(request, self.shared.clone());
+                self.traffic.spawn(taking);
             }
             Action::DropSnapshot { engine, name } => {
                 let dropping = snapshots::discard(engine, name, self.shared.clone());
@@ -145,7 +128,7 @@
             }
             Action::WatchStore(is_watching) => self.shared.set_watching_store(is_watching),
             Action::Gossip { to, state } => {
-                let telling = peers::tell(Arc::clone(&self.gossip), to, *state);
+                let telling = peers::send_state(Arc::clone(&self.gossip), to, *state);
                 self.traffic.spawn(telling);
             }
             Action::GossipUsage { to, news } => {
@@ -163,7 +146,7 @@
         }
     }
 
-    fn tell(&mut self, request: RequestNumber, command: Command) {
+    fn command(&mut self, request: RequestNumber, command: Command) {
         let is_last = matches!(
             command,
             Command::Deliver | Command::Finish | Command::Refuse(_)
--- a/src/gateway/shell/dialect.rs
+++ b/src/gateway/shell/dialect.rs
@@ -36,7 +36,7 @@
 
 /// What is read from the platform's store.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
-pub enum Source {
+pub enum ObjectKind {
     /// The operators' configuration.
     Table,
     /// The list of endpoints.
@@ -54,7 +54,7 @@
 
 /// What the store answers to a list or a watch.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Page {
+pub struct StorePage {
     /// Objects, or changes of them.
     pub entries: Vec<Entry>,
     /// Whether the list goes on after the last of them.
@@ -109,16 +109,16 @@
     fn ready_path(&self) -> &'static str;
 
     /// The path of a list, from the object after a name on.
-    fn list_path(&self, source: Source, after: Option<&str>) -> String;
+    fn list_path(&self, source: ObjectKind, after: Option<&str>) -> String;
 
     /// The path of a watch from a revision on.
-    fn watch_path(&self, source: Source, at: u64, wait: Duration) -> String;
+    fn watch_path(&self, source: ObjectKind, at: u64, wait: Duration) -> String;
 
     /// Reads the answer to a list.
-    fn read_list(&self, body: &[u8]) -> Option<Page>;
+    fn read_list(&self, body: &[u8]) -> Option<StorePage>;
 
     /// Reads the answer to a watch.
-    fn read_watch(&self, body: &[u8]) -> Option<Page>;
+    fn read_watch(&self, body: &[u8]) -> Option<StorePage>;
 
     /// Reads the operators' configuration; `None` where an object holds something else.
     ///
--- a/src/gateway/shell/exchange.rs
+++ b/src/gateway/shell/exchange.rs
@@ -1,8 +1,12 @@
-//! One caller's request: sends it where the dispatcher says, and passes the answer on.
+//! The task of one caller's request: makes attempts where the dispatcher says, and passes the answer on.
 //!
-//! The task of an exchange moves bytes and reports what happens; it decides nothing. A stream goes
-//! to the caller event by event, and its head only with the first one, so that whatever fails
-//! before can still be answered properly.
+//! It moves bytes and reports what happens; it decides nothing. States: nothing was answered yet; a stream has begun;
+//! the final answer was given. A stream goes to the caller event by event, and its head only with the first one, so
+//! that whatever fails before can still be answered properly. Its body ends whole only with an explicit end, so a
+//! process that dies can't make one look complete.
+//!
+//! Owns: the caller's connection and that of the active attempt. Relies on: [`crate::gateway::dispatch`] for what to do,
+//! [`super::attempt`] for the head of an answer.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -25,19 +29,19 @@
 use crate::http::pool::Connection;
 use crate::http::{self, EVENT_STREAM};
 
-/// How many events wait for a slow caller before the engine is read no further.
+/// How many events wait for a slow caller before the engine is read no further. Chosen, not measured.
 const EVENTS_WAITING: usize = 20;
 
 /// A part of a stream on its way to the caller.
 #[derive(Debug)]
-enum Part {
+enum StreamPart {
     /// A whole event.
     Event(Bytes),
     /// The stream is complete.
     End,
 }
 
-type EventSender = mpsc::Sender<Part>;
+type EventSender = mpsc::Sender<StreamPart>;
 
 /// Where the answer goes.
 enum Caller {
@@ -57,8 +61,8 @@
     }
 }
 
-/// Why a sending was left.
-enum Left {
+/// Why an attempt is over for this task.
+enum AttemptEnd {
     /// It ended.
     Ended(Outcome),
     /// The dispatcher had it stopped.
@@ -109,8 +113,8 @@
     pub async fn run(mut self) {
         while let Some(command) = self.next_command().await {
             match command {
-                Command::Send(sending) => {
-                    if !self.send(*sending).await {
+                Command::Send(attempt) => {
+                    if !self.send(*attempt).await {
                         return;
                     }
                 }
@@ -135,26 +139,26 @@
         }
     }
 
-    async fn tell(&self, event: Event) {
-        self.shared.tell(Input::Event(event)).await;
+    async fn report(&self, event: Event) {
+        self.shared.send(Input::Event(event)).await;
     }
 
     async fn report_gone(&self) {
-        self.tell(Event::CallerGone(self.number)).await;
+        self.report(Event::CallerGone(self.number)).await;
     }
 
-    /// Makes one sending; returns whether the exchange goes on.
-    async fn send(&mut self, sending: Attempt) -> bool {
-        match self.attempt(&sending).await {
-            Left::Stopped => true,
-            Left::CallerGone => {
+    /// Makes one attempt; returns whether the exchange goes on.
+    async fn send(&mut self, attempt: Attempt) -> bool {
+        match self.attempt(&attempt).await {
+            AttemptEnd::Stopped => true,
+            AttemptEnd::CallerGone => {
                 self.report_gone().await;
                 false
             }
-            Left::Ended(outcome) => {
-                self.tell(Event::Ended {
+            AttemptEnd::Ended(outcome) => {
+                self.report(Event::Ended {
                     request: self.number,
-                    attempt: sending.attempt,
+                    attempt: attempt.attempt,
                     outcome,
                 })
                 .await;
@@ -163,68 +167,68 @@
         }
     }
 
-    async fn attempt(&mut self, sending: &Attempt) -> Left {
+    async fn attempt(&mut self, attempt: &Attempt) -> AttemptEnd {
         let shared = self.shared.clone();
         let request = Arc::clone(&self.request);
         let after = self.last_event;
-        let opening = open(&shared, &request, sending, after);
-        let (response, connection) = match self.unless_left(sending.attempt, opening).await {
-            Err(left) => return left,
-            Ok(Err(outcome)) => return Left::Ended(outcome),
+        let opening = open(&shared, &request, attempt, after);
+        let (response, connection) = match self.unless_over(attempt.attempt, opening).await {
+            Err(end) => return end,
+            Ok(Err(outcome)) => return AttemptEnd::Ended(outcome),
             Ok(Ok(opened)) => opened,
         };
         let (head, body) = response.into_parts();
         match self.shared.dialect.judge(&head, &self.request.id) {
-            AnswerKind::Foreign => return Left::Ended(Outcome::Broken(Fault::Foreign)),
-            AnswerKind::Malformed => return Left::Ended(Outcome::Broken(Fault::Malformed)),
-            AnswerKind::NotRun(cause) => return Left::Ended(Outcome::NotRun(cause)),
+            AnswerKind::Foreign => return AttemptEnd::Ended(Outcome::Broken(Fault::Foreign)),
+            AnswerKind::Malformed => return AttemptEnd::Ended(Outcome::Broken(Fault::Malformed)),
+            AnswerKind::NotRun(cause) => return AttemptEnd::Ended(Outcome::NotRun(cause)),
             AnswerKind::Proper => {}
         }
         let is_stream = headers::text(&head.headers, header::CONTENT_TYPE)
             .is_some_and(|kind| kind.starts_with(EVENT_STREAM));
         if is_stream && head.status == StatusCode::OK {
-            self.tell(Event::StreamOpened {
+            self.report(Event::StreamOpened {
                 request: self.number,
-                attempt: sending.attempt,
+                attempt: attempt.attempt,
             })
             .await;
-            self.pump(sending, &head.headers, body, connection).await
+            self.pump(attempt, &head.headers, body, connection).await
         } else {
             let reading = hold(head.status, &head.headers, body);
-            match self.unless_left(sending.attempt, reading).await {
-                Err(left) => left,
-                Ok(Err(fault)) => Left::Ended(Outcome::Broken(fault)),
+            match self.unless_over(attempt.attempt, reading).await {
+                Err(end) => end,
+                Ok(Err(fault)) => AttemptEnd::Ended(Outcome::Broken(fault)),
                 Ok(Ok(answer)) => {
                     self.shared.pool.put_back(connection);
                     let outcome = Outcome::Answered {
                         status: answer.status.as_u16(),
                     };
                     self.held = Some(answer);
-                    Left::Ended(outcome)
+                    AttemptEnd::Ended(outcome)
                 }
             }
         }
     }
 
-    /// Runs a part of a sending unless the dispatcher stops it or the caller goes away.
-    async fn unless_left<T>(
+    /// Runs a part of an attempt unless the dispatcher stops it or the caller goes away.
+    async fn unless_over<T>(
         &mut self,
         attempt: AttemptNumber,
         part: impl Future<Output = T>,
-    ) -> Result<T, Left> {
+    ) -> Result<T, AttemptEnd> {
         tokio::pin!(part);
         loop {
             let Some(caller) = self.caller.as_mut() else {
-                return Err(Left::CallerGone);
+                return Err(AttemptEnd::CallerGone);
             };
             tokio::select! {
                 biased;
                 command = self.commands.recv() => match command {
-                    Some(Command::StopAttempt(stopped)) if stopped == attempt => return Err(Left::Stopped),
+                    Some(Command::StopAttempt(stopped)) if stopped == attempt => return Err(AttemptEnd::Stopped),
                     Some(_) => {}
-                    None => return Err(Left::CallerGone),
+                    None => return Err(AttemptEnd::CallerGone),
                 },
-                () = caller.gone() => return Err(Left::CallerGone),
+                () = caller.gone() => return Err(AttemptEnd::CallerGone),
                 done = &mut part => return Ok(done),
             }
         }
@@ -233,35 +237,37 @@
     /// Passes a stream on until it ends.
     async fn pump(
         &mut self,
-        sending: &Attempt,
+        attempt: &Attempt,
         headers: &HeaderMap,
         mut body: Incoming,
         connection: Connection,
-    ) -> Left {
+    ) -> AttemptEnd {
         let mut cutter = EventCutter::default();
         loop {
-            let frame = match self.unless_left(sending.attempt, body.frame()).await {
-                Err(left) => return left,
+            let frame = match self.unless_over(attempt.attempt, body.frame()).await {
+                Err(end) => return end,
                 Ok(frame) => frame,
             };
             match frame {
-                None if cutter.has_rest() => return Left::Ended(Outcome::Broken(Fault::Malformed)),
+                None if cutter.has_rest() => {
+                    return AttemptEnd::Ended(Outcome::Broken(Fault::Malformed));
+                }
                 None => {
                     self.shared.pool.put_back(connection);
                     return self.end_stream(headers);
                 }
-                Some(Err(_)) => return Left::Ended(Outcome::Broken(Fault::Closed)),
+                Some(Err(_)) => return AttemptEnd::Ended(Outcome::Broken(Fault::Closed)),
                 Some(Ok(frame)) => {
                     if let Some(bytes) = frame.data_ref() {
                         cutter.push(bytes);
                     }
                 }
             }
-            if let Err(left) = self
-                .pass_events(sending.attempt, headers, &mut cutter)
+            if let Err(end) = self
+                .pass_events(attempt.attempt, headers, &mut cutter)
                 .await
             {
-                return left;
+                return end;
             }
         }
     }
@@ -272,11 +278,11 @@
         attempt: AttemptNumber,
         headers: &HeaderMap,
         cutter: &mut EventCutter,
-    ) -> Result<(), Left> {
+    ) -> Result<(), AttemptEnd> {
         let before = self.last_event;
         loop {
             let event = match cutter.next_event() {
-                Err(_) => return Err(Left::Ended(Outcome::Broken(Fault::Malformed))),
+                Err(_) => return Err(AttemptEnd::Ended(Outcome::Broken(Fault::Malformed))),
                 Ok(None) => break,
                 Ok(Some(event)) => event,
             };
@@ -285,7 +291,7 @@
                     continue;
                 }
                 if id != last + 1 {
-                    return Err(Left::Ended(Outcome::Broken(Fault::Malformed)));
+                    return Err(AttemptEnd::Ended(Outcome::Broken(Fault::Malformed)));
                 }
             }
             self.pass(attempt, headers, event.bytes).await?;
@@ -293,7 +299,7 @@
         }
         if self.last_event != before {
             self.observe_pause();
-            self.tell(Event::Progress {
+            self.report(Event::Progress {
                 request: self.number,
                 attempt,
                 last_event: self.last_event.unwrap_or_default(),
@@ -317,12 +323,12 @@
         attempt: AttemptNumber,
         headers: &HeaderMap,
         bytes: Bytes,
-    ) -> Result<(), Left> {
-        let events = self.begin_stream(headers).ok_or(Left::CallerGone)?;
-        let sent = events.send(Part::Event(bytes));
-        match self.unless_left(attempt, sent).await? {
+    ) -> Result<(), AttemptEnd> {
+        let events = self.begin_stream(headers).ok_or(AttemptEnd::CallerGone)?;
+        let sent = events.send(StreamPart::Event(bytes));
+        match self.unless_over(attempt, sent).await? {
             Ok(()) => Ok(()),
-            Err(_) => Err(Left::CallerGone),
+            Err(_) => Err(AttemptEnd::CallerGone),
         }
     }
 
@@ -349,16 +355,16 @@
     }
 
     /// Ends a stream whole, also one without events.
-    fn end_stream(&mut self, headers: &HeaderMap) -> Left {
+    fn end_stream(&mut self, headers: &HeaderMap) -> AttemptEnd {
         match self.begin_stream(headers) {
-            Some(_) => Left::Ended(Outcome::StreamEnded),
-            None => Left::CallerGone,
+            Some(_) => AttemptEnd::Ended(Outcome::StreamEnded),
+            None => AttemptEnd::CallerGone,
         }
     }
 
     async fn finish(mut self) {
         if let Some(Caller::Streaming(events)) = self.caller.take() {
-            let _ = events.send(Part::End).await;
+            let _ = events.send(StreamPart::End).await;
         }
     }
 
@@ -394,13 +400,13 @@
 
 /// The body of a stream: it ends whole only with its end, whatever else becomes of the exchange.
 fn frames(
-    received: mpsc::Receiver<Part>,
+    received: mpsc::Receiver<StreamPart>,
 ) -> impl futures_util::Stream<Item = Result<Frame<Bytes>, std::io::Error>> {
     futures_util::stream::unfold(Some(received), |received| async move {
         let mut received = received?;
         match received.recv().await {
-            Some(Part::Event(bytes)) => Some((Ok(Frame::data(bytes)), Some(received))),
-            Some(Part::End) => None,
+            Some(StreamPart::Event(bytes)) => Some((Ok(Frame::data(bytes)), Some(received))),
+            Some(StreamPart::End) => None,
             None => Some((Err(std::io::ErrorKind::ConnectionAborted.into()), None)),
         }
     })
--- a/src/gateway/shell/peers.rs
+++ b/src/gateway/shell/peers.rs
@@ -15,9 +15,9 @@
 
 use crate::gateway::dispatch::event::Event;
 use crate::gateway::dispatch::peers::FetchKind;
-use crate::gateway::shell::dialect::{Entry, Source};
+use crate::gateway::shell::dialect::{Entry, ObjectKind};
 use crate::gateway::shell::input::Input;
-use crate::gateway::shell::watcher::News;
+use crate::gateway::shell::watcher::StoreChange;
 use crate::gateway::shell::{GatewayShared, store};
 use crate::schema::{BoxState, StateReply, StateRequest, UsageNews};
 
@@ -35,7 +35,7 @@
 const MOST_LISTS: usize = 3;
 
 /// Tells other boxes how this one stands.
-pub async fn tell(socket: Arc<UdpSocket>, to: Vec<SocketAddr>, state: BoxState) {
+pub async fn send_state(socket: Arc<UdpSocket>, to: Vec<SocketAddr>, state: BoxState) {
     send(&socket, &to, STATE, &state).await;
 }
 
@@ -63,7 +63,7 @@
             continue;
         };
         if let Some(event) = read_datagram(&buf[..length]) {
-            shared.tell(Input::Event(event)).await;
+            shared.send(Input::Event(event)).await;
         }
     }
 }
@@ -85,7 +85,7 @@
     if let Ok(Ok(reply)) = asked {
         take_in(reply, &wanted, &shared).await;
     }
-    shared.tell(Input::Event(Event::Fetched(kind))).await;
+    shared.send(Input::Event(Event::Fetched(kind))).await;
 }
 
 async fn take_in(reply: StateReply, wanted: &StateRequest, shared: &GatewayShared) {
@@ -105,12 +105,12 @@
         })
         .collect();
     if reply.endpoints_at > wanted.endpoints_after {
-        let news = if reply.is_whole {
-            News::Listed(entries)
+        let change = if reply.is_whole {
+            StoreChange::Listed(entries)
         } else {
-            News::Changed(entries)
+            StoreChange::Changed(entries)
         };
-        store::spread(Source::Endpoints, news, reply.endpoints_at, shared).await;
+        store::take_in(ObjectKind::Endpoints, change, reply.endpoints_at, shared).await;
     }
 }
 
--- a/src/gateway/shell/probes.rs
+++ b/src/gateway/shell/probes.rs
@@ -33,7 +33,7 @@
         endpoint,
         is_answered: got.is_ok_and(|answer| answer.is_some()),
     };
-    shared.tell(Input::Event(event)).await;
+    shared.send(Input::Event(event)).await;
 }
 
 /// Asks endpoints which of them keeps a part of a prompt and tells of the first that does.
@@ -66,7 +66,7 @@
         request,
         endpoint: endpoint.ok().flatten(),
     };
-    shared.tell(Input::Event(event)).await;
+    shared.send(Input::Event(event)).await;
 }
 
 /// Asks what has an endpoint's address who it is.
@@ -82,7 +82,7 @@
     if let Some(instance) = named.ok().flatten() {
         let endpoint = spec.id;
         let event = Event::Named { endpoint, instance };
-        shared.tell(Input::Event(event)).await;
+        shared.send(Input::Event(event)).await;
     }
 }
 
@@ -93,7 +93,7 @@
     let got = tokio::time::timeout(LOCATE_LIMIT, get(address, path, LOCATE_LIMIT, &shared)).await;
     let body = got.ok().flatten().flatten();
     if body.is_some_and(|body| shared.dialect.is_engine(&body)) {
-        shared.tell(Input::Event(Event::Identified(spec))).await;
+        shared.send(Input::Event(Event::Identified(spec))).await;
     }
 }
 
--- a/src/gateway/shell/shared.rs
+++ b/src/gateway/shell/shared.rs
@@ -1,4 +1,5 @@
-//! What all parts of a gateway share: settings, clock, log, metrics, connections, and how it stands.
+//! What all parts of a gateway's shell share: settings, clock, log, metrics, connections, and the state that traffic
+//! threads look at without asking the control thread.
 
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::{Arc, RwLock};
@@ -16,7 +17,7 @@
 use crate::gateway::shell::headers;
 use crate::gateway::shell::input::Input;
 use crate::gateway::shell::metrics::GatewayMetrics;
-use crate::gateway::shell::store_cache::Known;
+use crate::gateway::shell::store_cache::StoreCache;
 use crate::http::pool::Pool;
 use crate::listen::DaemonError;
 use crate::schema::{StateReply, StateRequest};
@@ -25,7 +26,7 @@
 const KEPT_PER_ENDPOINT: usize = 8;
 
 #[derive(Debug, Default)]
-struct Standing {
+struct SharedState {
     table: RwLock<Option<Arc<RoutingTable>>>,
     is_ready: AtomicBool,
     is_stopping: AtomicBool,
@@ -50,20 +51,21 @@
     /// Connections to endpoints.
     pub pool: Arc<Pool>,
     pub(super) closing: watch::Sender<bool>,
-    reading: watch::Sender<bool>,
-    standing: Arc<Standing>,
-    read: Arc<RwLock<Known>>,
+    watching_store: watch::Sender<bool>,
+    active: watch::Sender<usize>,
+    state: Arc<SharedState>,
+    store_cache: Arc<RwLock<StoreCache>>,
 }
 
 /// Gives back the room that a body takes.
 pub struct BodyRoom {
-    standing: Arc<Standing>,
+    state: Arc<SharedState>,
     bytes: usize,
 }
 
 impl Drop for BodyRoom {
     fn drop(&mut self) {
-        self.standing
+        self.state
             .held_bytes
             .fetch_sub(self.bytes, Ordering::Relaxed);
     }
@@ -95,14 +97,15 @@
             inputs,
             pool: Arc::new(Pool::new(KEPT_PER_ENDPOINT)),
             closing: watch::channel(false).0,
-            reading: watch::channel(false).0,
-            standing: Arc::default(),
-            read: Arc::default(),
+            watching_store: watch::channel(false).0,
+            active: watch::channel(0).0,
+            state: Arc::default(),
+            store_cache: Arc::default(),
         })
     }
 
     /// Hands something to the control thread, waiting if it is busy.
-    pub async fn tell(&self, input: Input) {
+    pub async fn send(&self, input: Input) {
         // It fails only when the control thread has ended, and then the process is about to.
         let _ = self.inputs.send(input).await;
     }
@@ -110,18 +113,18 @@
     /// Whether callers can be answered.
     #[must_use]
     pub fn is_ready(&self) -> bool {
-        self.standing.is_ready.load(Ordering::Relaxed) && !self.is_stopping()
+        self.state.is_ready.load(Ordering::Relaxed) && !self.is_stopping()
     }
 
     /// Whether the process is about to end.
     #[must_use]
     pub fn is_stopping(&self) -> bool {
-        self.standing.is_stopping.load(Ordering::Relaxed)
+        self.state.is_stopping.load(Ordering::Relaxed)
     }
 
     /// Notes that the process is about to end.
     pub fn begin_stopping(&self) {
-        self.standing.is_stopping.store(true, Ordering::Relaxed);
+        self.state.is_stopping.store(true, Ordering::Relaxed);
     }
 
     /// Has connections at rest closed.
@@ -129,26 +132,51 @@
         self.closing.send_replace(true);
     }
 
-    /// Begins or ceases to read the platform's store.
+    /// Begins or ceases to watch the platform's store.
     pub fn set_watching_store(&self, is_watching: bool) {
-        self.reading.send_replace(is_watching);
+        self.watching_store.send_replace(is_watching);
     }
 
-    /// Waits until this box reads the platform's store; returns whether that took a while.
+    /// Notes how many requests are served.
+    pub fn set_active(&self, requests: usize) {
+        self.metrics
+            .active
+            .set(i64::try_from(requests).unwrap_or(i64::MAX));
+        self.active.send_if_modified(|active| {
+            let has_changed = *active != requests;
+            *active = requests;
+            has_changed
+        });
+    }
+
+    /// How many requests are served.
+    #[must_use]
+    pub fn active(&self) -> usize {
+        *self.active.borrow()
+    }
+
+    /// Waits until no request is served.
+    pub async fn until_idle(&self) {
+        let mut active = self.active.subscribe();
+        // It fails only when the sender is gone, and this holds one.
+        let _ = active.wait_for(|requests| *requests == 0).await;
+    }
+
+    /// Waits until this box watches the platform's store; returns whether that took a while.
     pub async fn until_watching_store(&self) -> bool {
-        let mut reading = self.reading.subscribe();
-        if *reading.borrow() {
+        let mut watching = self.watching_store.subscribe();
+        if *watching.borrow() {
             return false;
         }
         // It fails only when the sender is gone, and this holds one.
-        let _ = reading.wait_for(|is_watching| *is_watching).await;
+        let _ = watching.wait_for(|is_watching| *is_watching).await;
         true
     }
 
     /// Bounds on requests, once there is a configuration.
     #[must_use]
     pub fn limits(&self) -> Option<CallerLimits> {
-        let table = self.standing.table.read();
+        let table = self.state.table.read();
         let table = table.unwrap_or_else(std::sync::PoisonError::into_inner);
         table.as_ref().map(|t| t.limits())
     }
@@ -156,11 +184,11 @@
     /// Notes the table in force.
     pub fn set_table(&self, table: Option<Arc<RoutingTable>>, is_ready: bool) {
         *self
-            .standing
+            .state
             .table
             .write()
             .unwrap_or_else(std::sync::PoisonError::into_inner) = table;
-        self.standing.is_ready.store(is_ready, Ordering::Relaxed);
+        self.state.is_ready.store(is_ready, Ordering::Relaxed);
     }
 
     /// Reserves the room that a body may take, if there is any.
@@ -169,9 +197,9 @@
         let length = headers::text(headers, header::CONTENT_LENGTH).and_then(|l| l.parse().ok());
         let has_body = headers.contains_key(header::TRANSFER_ENCODING);
         let bytes: usize = length.unwrap_or(if has_body { most } else { 0 }).min(most);
-        let standing = Arc::clone(&self.standing);
-        let before = standing.held_bytes.fetch_add(bytes, Ordering::Relaxed);
-        let room = BodyRoom { standing, bytes };
+        let state = Arc::clone(&self.state);
+        let before = state.held_bytes.fetch_add(bytes, Ordering::Relaxed);
+        let room = BodyRoom { state, bytes };
         (before + bytes <= self.settings.held_bytes).then_some(room)
     }
 
@@ -204,10 +232,10 @@
 
     /// Keeps a configuration for peers, unless a newer one is kept.
     pub fn keep_table(&self, entry: &Entry, version: TableVersion) {
-        let mut read = self.write_read();
-        let is_newer = read.table.as_ref().is_none_or(|(kept, _)| *kept < version);
+        let mut cache = self.write_cache();
+        let is_newer = cache.table.as_ref().is_none_or(|(kept, _)| *kept < version);
         if let (true, Some(text)) = (is_newer, &entry.text) {
-            read.table = Some((version, text.clone()));
+            cache.table = Some((version, text.clone()));
         }
     }
 
@@ -215,33 +243,33 @@
     /// changed last, if these entries are news.
     #[must_use]
     pub fn keep_endpoints(&self, entries: &[Entry], is_whole: bool, at: u64) -> Option<u64> {
-        let mut read = self.write_read();
-        let is_news = read.take(entries, is_whole, at);
-        is_news.then_some(read.endpoints_at)
+        let mut cache = self.write_cache();
+        let is_news = cache.take(entries, is_whole, at);
+        is_news.then_some(cache.endpoints_at)
     }
 
     /// What a peer asks for.
     #[must_use]
     pub fn state_for(&self, wanted: &StateRequest) -> StateReply {
-        let read = self
-            .read
+        let cache = self
+            .store_cache
             .read()
             .unwrap_or_else(std::sync::PoisonError::into_inner);
-        let newer = read
+        let newer = cache
             .table
             .as_ref()
             .filter(|(version, _)| version.0 > wanted.table_after);
-        let (endpoints, is_whole) = read.since(wanted.endpoints_after);
+        let (endpoints, is_whole) = cache.since(wanted.endpoints_after);
         StateReply {
             table: newer.map(|(_, text)| text.clone()),
             endpoints,
-            endpoints_at: read.endpoints_at,
+            endpoints_at: cache.endpoints_at,
             is_whole,
         }
     }
 
-    fn write_read(&self) -> std::sync::RwLockWriteGuard<'_, Known> {
-        self.read
+    fn write_cache(&self) -> std::sync::RwLockWriteGuard<'_, StoreCache> {
+        self.store_cache
             .write()
             .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
--- a/src/gateway/shell/snapshots.rs
+++ b/src/gateway/shell/snapshots.rs
@@ -1,4 +1,4 @@
-//! Asks engines to copy the memory of runs, and to drop copies that are not needed any more.
+//! Asks engines to take snapshots of attempts, and to drop those that are not needed any more.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,58 +8,41 @@
 use gotham::hyper::{Method, Request, StatusCode};
 use http_body_util::Full;
 
-use crate::gateway::dispatch::event::{AttemptNumber, Event, RequestNumber, SnapshotName};
+use crate::gateway::dispatch::action::SnapshotRequest;
+use crate::gateway::dispatch::event::{Event, SnapshotName};
 use crate::gateway::shell::GatewayShared;
 use crate::gateway::shell::input::Input;
 use crate::http::pool::Pool;
-use crate::schema::EndpointId;
 
-/// How long a connection may have rested.
-const COPY_CONNECTION_REST: Duration = Duration::from_secs(4);
-/// How long an engine may take to drop a copy.
+/// How long a connection may have rested. Chosen, not measured.
+const SNAPSHOT_CONNECTION_REST: Duration = Duration::from_secs(4);
+/// How long an engine may take to drop a snapshot. Chosen, not measured.
 const DROP_LIMIT: Duration = Duration::from_millis(300);
 
-/// A run whose memory is to be copied.
-#[derive(Debug)]
-pub struct Wanted {
-    /// The request.
-    pub request: RequestNumber,
-    /// The sending whose run it is.
-    pub attempt: AttemptNumber,
-    /// The id by which the engine knows the run.
-    pub run: String,
-    /// The engine's address.
-    pub engine: SocketAddr,
-    /// The endpoint that is to hold the copy.
-    pub host: EndpointId,
-    /// The host's address.
-    pub to: SocketAddr,
-}
-
-/// Has an engine copy the memory of a run and tells what came of it.
-pub async fn take(wanted: Wanted, limit: Duration, shared: GatewayShared) {
-    let asked = tokio::time::timeout(limit, ask(&wanted, limit, &shared)).await;
+/// Has an engine take a snapshot and reports what came of it.
+pub async fn take(wanted: SnapshotRequest, shared: GatewayShared) {
+    let asked = tokio::time::timeout(wanted.limit, ask(&wanted, &shared)).await;
     let event = Event::SnapshotTaken {
         request: wanted.request,
         attempt: wanted.attempt,
         host: wanted.host,
         name: asked.ok().flatten(),
     };
-    shared.tell(Input::Event(event)).await;
+    shared.send(Input::Event(event)).await;
 }
 
-async fn ask(wanted: &Wanted, limit: Duration, shared: &GatewayShared) -> Option<SnapshotName> {
+async fn ask(wanted: &SnapshotRequest, shared: &GatewayShared) -> Option<SnapshotName> {
     let (path, body) = shared.dialect.snapshot_request(&wanted.run, wanted.to);
     let mut request = Request::new(Full::new(Bytes::from(body)));
     *request.method_mut() = Method::POST;
     *request.uri_mut() = path.parse().ok()?;
     let json = HeaderValue::from_static("application/json");
     request.headers_mut().insert(CONTENT_TYPE, json);
-    let body = exchange(wanted.engine, request, limit, shared).await?;
+    let body = exchange(wanted.engine, request, wanted.limit, shared).await?;
     shared.dialect.read_snapshot(&body)
 }
 
-/// Has an engine drop a copy; one that can't be reached forgets it by itself.
+/// Has an engine drop a snapshot; one that can't be reached forgets it by itself.
 pub async fn discard(engine: SocketAddr, name: SnapshotName, shared: GatewayShared) {
     let mut request = Request::new(Full::new(Bytes::new()));
     *request.method_mut() = Method::DELETE;
@@ -77,7 +60,7 @@
     limit: Duration,
     shared: &GatewayShared,
 ) -> Option<Bytes> {
-    let mut connection = match shared.pool.take(address, COPY_CONNECTION_REST) {
+    let mut connection = match shared.pool.take(address, SNAPSHOT_CONNECTION_REST) {
         Some(connection) => connection,
         None => Pool::connect(address, limit).await.ok()?,
     };
--- a/src/gateway/shell/stop.rs
+++ b/src/gateway/shell/stop.rs
@@ -1,4 +1,8 @@
-//! Planned stops, and settings that change while the process runs.
+//! How a stop goes, and settings that change while the process runs.
+//!
+//! On SIGTERM or SIGINT the box says at once that it isn't ready, and new streams that it could not finish are refused
+//! ([`crate::gateway::dispatch`]). It goes on taking connections for [`NOTICED_AFTER`], until the balancer has noticed; then
+//! it closes those at rest, and ends when no request is served or the grace period is over.
 
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
@@ -11,15 +15,17 @@
 use crate::gateway::shell::GatewayShared;
 use crate::gateway::shell::input::Input;
 
-/// How long a box that is stopping still takes new connections: until the balancer has noticed.
+/// How long a box that is stopping still takes new connections: the users' platform takes a box out after two questions
+/// without a 200. Chosen, not measured.
 const NOTICED_AFTER: Duration = Duration::from_secs(3);
-/// How long before the end of the grace a box closes what is left.
+/// How long before the end of the grace period a box closes what is left, so that it isn't killed meanwhile. Chosen, not
+/// measured.
 const BEFORE_KILL: Duration = Duration::from_millis(250);
-/// How often a box that is stopping looks whether it is done.
-const LOOK: Duration = Duration::from_millis(50);
-/// How long connections at rest get to close.
+/// How long the writer of the decision log gets for its last lines. Chosen, not measured.
+const LAST_LINE: Duration = Duration::from_millis(50);
+/// How long connections at rest get to close. Chosen, not measured.
 const CLOSING: Duration = Duration::from_millis(100);
-/// How often the settings file is looked at.
+/// How often the settings file is read again. Chosen, not measured.
 const RELOAD: Duration = Duration::from_secs(2);
 
 /// Stops the process in order once it is asked to.
@@ -43,22 +49,22 @@
     let asked = Instant::now();
     shared.begin_stopping();
     let grace = shared.settings.stop_grace.saturating_sub(BEFORE_KILL);
-    shared.tell(Input::Event(Event::Stop { grace })).await;
+    shared.send(Input::Event(Event::Stop { grace })).await;
     record(shared, "stopping", String::new());
     tokio::time::sleep(NOTICED_AFTER.min(grace)).await;
     shared.close_resting();
     tokio::time::sleep(CLOSING).await;
-    while shared.metrics.active.get() > 0 && asked.elapsed() < grace {
-        tokio::time::sleep(LOOK).await;
-    }
+    let left = grace.saturating_sub(asked.elapsed());
+    // What is still served at the end of the grace period is cut off.
+    let _ = tokio::time::timeout(left, shared.until_idle()).await;
     tokio::time::sleep(CLOSING).await;
     record(
         shared,
         "stopped",
-        format!("{} requests left", shared.metrics.active.get()),
+        format!("{} requests left", shared.active()),
     );
-    tokio::time::sleep(LOOK).await;
-    shared.tell(Input::Exit).await;
+    tokio::time::sleep(LAST_LINE).await;
+    shared.send(Input::Exit).await;
 }
 
 /// Takes in what can change while the process runs: the seeds.
@@ -89,7 +95,7 @@
         }
         if read.seeds != seeds {
             seeds.clone_from(&read.seeds);
-            shared.tell(Input::Event(Event::Seeds(read.seeds))).await;
+            shared.send(Input::Event(Event::Seeds(read.seeds))).await;
         }
     }
 }
--- a/src/gateway/shell/store.rs
+++ b/src/gateway/shell/store.rs
@@ -11,9 +11,9 @@
 use crate::gateway::dispatch::event::{EndpointChange, Event};
 use crate::gateway::dispatch::record::Record;
 use crate::gateway::shell::GatewayShared;
-use crate::gateway::shell::dialect::{Entry, Source};
+use crate::gateway::shell::dialect::{Entry, ObjectKind};
 use crate::gateway::shell::input::Input;
-use crate::gateway::shell::watcher::{News, Step, StepAnswer, Watcher};
+use crate::gateway::shell::watcher::{StoreAnswer, StoreChange, StoreRequest, Watcher};
 use crate::http::pool::{Connection, Pool};
 
 /// How long configurations gather.
@@ -30,7 +30,7 @@
 const WATCH_SLACK: Duration = Duration::from_millis(700);
 
 /// Follows one source for as long as the process runs.
-pub async fn follow(source: Source, shared: GatewayShared) {
+pub async fn follow(source: ObjectKind, shared: GatewayShared) {
     let mut watcher = Watcher::default();
     let mut rng = ChaCha8Rng::seed_from_u64(rand::random());
     let mut link = StoreLink::default();
@@ -40,18 +40,18 @@
             // Others have read meanwhile; only a list tells where to watch from.
             watcher = Watcher::default();
         }
-        let answer = link.ask(source, &watcher.step(), &shared).await;
+        let answer = link.ask(source, &watcher.next_request(), &shared).await;
         let next = watcher.on_answer(answer, &mut rng);
         if watcher.is_reached() != was_reached {
             was_reached = watcher.is_reached();
             record_reached(source, was_reached, &shared);
         }
         if watcher.is_reached() {
-            shared.tell(Input::Event(Event::StoreAnswered)).await;
+            shared.send(Input::Event(Event::StoreAnswered)).await;
         }
         let mut pause = next.pause;
-        if let Some(news) = next.news {
-            spread(source, news, watcher.revision(), &shared).await;
+        if let Some(change) = next.change {
+            take_in(source, change, watcher.revision(), &shared).await;
             pause = pause.max(gathering(source));
         }
         tokio::time::sleep(pause).await;
@@ -59,14 +59,14 @@
 }
 
 /// How long changes gather after some were read, so that many at once cost few calls.
-fn gathering(source: Source) -> Duration {
+fn gathering(source: ObjectKind) -> Duration {
     match source {
-        Source::Table => GATHER_TABLES,
-        Source::Endpoints => GATHER_ENDPOINTS,
+        ObjectKind::Table => GATHER_TABLES,
+        ObjectKind::Endpoints => GATHER_ENDPOINTS,
     }
 }
 
-fn record_reached(source: Source, is_reached: bool, shared: &GatewayShared) {
+fn record_reached(source: ObjectKind, is_reached: bool, shared: &GatewayShared) {
     let state = if is_reached {
         "store_reached"
     } else {
@@ -87,13 +87,20 @@
 }
 
 impl StoreLink {
-    async fn ask(&mut self, source: Source, step: &Step, shared: &GatewayShared) -> StepAnswer {
+    async fn ask(
+        &mut self,
+        source: ObjectKind,
+        request: &StoreRequest,
+        shared: &GatewayShared,
+    ) -> StoreAnswer {
         let dialect = &shared.dialect;
         let watch = shared.settings.watch;
         let patience = doubled(LIST_LIMIT, self.failures, MOST_LIST_DOUBLINGS);
-        let (path, limit, is_watch) = match step {
-            Step::List { after } => (dialect.list_path(source, after.as_deref()), patience, false),
-            Step::Watch { at } => (
+        let (path, limit, is_watch) = match request {
+            StoreRequest::List { after } => {
+                (dialect.list_path(source, after.as_deref()), patience, false)
+            }
+            StoreRequest::Watch { at } => (
                 dialect.watch_path(source, *at, watch),
                 watch + WATCH_SLACK,
                 true,
@@ -107,18 +114,18 @@
             shared.metrics.store_seconds.observe(took);
         }
         let answer = match got.ok().flatten() {
-            Some((StatusCode::GONE, _)) => StepAnswer::HistoryLost,
+            Some((StatusCode::GONE, _)) => StoreAnswer::HistoryLost,
             Some((StatusCode::OK, body)) => {
                 let page = if is_watch {
                     dialect.read_watch(&body)
                 } else {
                     dialect.read_list(&body)
                 };
-                page.map_or(StepAnswer::Failed, StepAnswer::Page)
+                page.map_or(StoreAnswer::Failed, StoreAnswer::StorePage)
             }
-            None | Some(_) => StepAnswer::Failed,
+            None | Some(_) => StoreAnswer::Failed,
         };
-        if answer == StepAnswer::Failed {
+        if answer == StoreAnswer::Failed {
             self.connection = None;
             self.failures += 1;
         } else {
@@ -140,15 +147,15 @@
     }
 }
 
-/// Tells the control thread what is new at a revision of the store.
-pub async fn spread(source: Source, news: News, at: u64, shared: &GatewayShared) {
-    match (source, news) {
-        (Source::Table, News::Listed(entries) | News::Changed(entries)) => {
+/// Keeps what was read at a revision of the store for peers, and hands it to the control thread.
+pub async fn take_in(source: ObjectKind, change: StoreChange, at: u64, shared: &GatewayShared) {
+    match (source, change) {
+        (ObjectKind::Table, StoreChange::Listed(entries) | StoreChange::Changed(entries)) => {
             for entry in entries {
                 take_table(&entry, shared).await;
             }
         }
-        (Source::Endpoints, News::Listed(entries)) => {
+        (ObjectKind::Endpoints, StoreChange::Listed(entries)) => {
             let Some(at) = shared.keep_endpoints(&entries, true, at) else {
                 return;
             };
@@ -157,9 +164,9 @@
                 .filter_map(|e| shared.dialect.read_endpoint(e))
                 .collect();
             let event = Event::EndpointsListed { specs, at };
-            shared.tell(Input::Event(event)).await;
+            shared.send(Input::Event(event)).await;
         }
-        (Source::Endpoints, News::Changed(entries)) => {
+        (ObjectKind::Endpoints, StoreChange::Changed(entries)) => {
             let Some(at) = shared.keep_endpoints(&entries, false, at) else {
                 return;
             };
@@ -168,7 +175,7 @@
                 .filter_map(|e| change_of(e, shared))
                 .collect();
             let event = Event::EndpointsChanged { changes, at };
-            shared.tell(Input::Event(event)).await;
+            shared.send(Input::Event(event)).await;
         }
     }
 }
@@ -194,7 +201,7 @@
         Some(Ok(table)) => {
             shared.keep_table(entry, table.version());
             let event = Event::Table(std::sync::Arc::new(table));
-            shared.tell(Input::Event(event)).await;
+            shared.send(Input::Event(event)).await;
         }
     }
 }
--- a/src/gateway/shell/store_cache.rs
+++ b/src/gateway/shell/store_cache.rs
@@ -1,4 +1,7 @@
-//! What was read from the platform's store, as it was read, kept for peers that ask.
+//! What was read from the platform's store, as it was read, for peers that ask.
+//!
+//! Owns: the last table, the list of endpoints, and which of them changed at which revision. A peer that is behind by no
+//! more than [`CHANGES_KEPT`] changes gets those, another one the whole list.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -8,7 +11,7 @@
 
 /// What was read from the platform, as it was read.
 #[derive(Debug, Default)]
-pub(super) struct Known {
+pub(super) struct StoreCache {
     /// The configuration.
     pub(super) table: Option<(TableVersion, String)>,
     endpoints: BTreeMap<String, String>,
@@ -20,10 +23,10 @@
     changes_after: u64,
 }
 
-/// How many changes of the list of endpoints are kept for peers.
+/// How many changes of the list of endpoints are kept for peers. Chosen, not measured.
 const CHANGES_KEPT: usize = 2_048;
 
-impl Known {
+impl StoreCache {
     /// Takes entries in; returns whether any of them is news.
     pub(super) fn take(&mut self, entries: &[Entry], is_whole: bool, at: u64) -> bool {
         let mut changed: Vec<&str> = Vec::new();
--- a/src/gateway/shell/watcher.rs
+++ b/src/gateway/shell/watcher.rs
@@ -8,7 +8,7 @@
 use rand::Rng;
 
 use crate::backoff::Backoff;
-use crate::gateway::shell::dialect::{Entry, Page};
+use crate::gateway::shell::dialect::{Entry, StorePage};
 
 /// Pauses after failures. Without them a 404 was asked again at once: 65,493 calls in 34 s on the first design's
 /// trial (docs/FINDINGS.md). The figures are chosen, not measured.
@@ -21,7 +21,7 @@
 
 /// What to ask next.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Step {
+pub enum StoreRequest {
     /// List the objects after a name.
     List {
         /// The last name that is known.
@@ -36,18 +36,18 @@
 
 /// What came of a step.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum StepAnswer {
+pub enum StoreAnswer {
     /// What was asked for.
-    Page(Page),
+    StorePage(StorePage),
     /// The changes since that revision are no longer known.
     HistoryLost,
     /// Anything else.
     Failed,
 }
 
-/// News of the store.
+/// What has changed in the store.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum News {
+pub enum StoreChange {
     /// All objects.
     Listed(Vec<Entry>),
     /// Changes.
@@ -56,9 +56,9 @@
 
 /// What follows from an answer.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct Next {
-    /// News, if there are any.
-    pub news: Option<News>,
+pub struct NextStep {
+    /// What has changed, if anything has.
+    pub change: Option<StoreChange>,
     /// How long to wait before the next step.
     pub pause: Duration,
 }
@@ -75,10 +75,10 @@
 impl Watcher {
     /// What to ask now.
     #[must_use]
-    pub fn step(&self) -> Step {
+    pub fn next_request(&self) -> StoreRequest {
         match self.at {
-            Some(at) => Step::Watch { at },
-            None => Step::List {
+            Some(at) => StoreRequest::Watch { at },
+            None => StoreRequest::List {
                 after: self.listed.last().map(|e| e.name.clone()),
             },
         }
@@ -97,28 +97,28 @@
     }
 
     /// Takes in the answer to a step.
-    pub fn on_answer(&mut self, answer: StepAnswer, rng: &mut impl Rng) -> Next {
+    pub fn on_answer(&mut self, answer: StoreAnswer, rng: &mut impl Rng) -> NextStep {
         match answer {
-            StepAnswer::Page(page) => {
+            StoreAnswer::StorePage(page) => {
                 self.failures = 0;
-                Next {
-                    news: self.on_page(page),
+                NextStep {
+                    change: self.on_page(page),
                     pause: Duration::ZERO,
                 }
             }
             // A watch that was cut may have missed changes that the store no longer knows, and a
             // new one from the same revision may then wait in vain: only a list tells for sure.
-            StepAnswer::HistoryLost | StepAnswer::Failed => {
+            StoreAnswer::HistoryLost | StoreAnswer::Failed => {
                 self.restart();
                 self.failed(rng)
             }
         }
     }
 
-    fn on_page(&mut self, page: Page) -> Option<News> {
+    fn on_page(&mut self, page: StorePage) -> Option<StoreChange> {
         if self.at.is_some() {
             self.at = Some(page.at);
-            return (!page.entries.is_empty()).then_some(News::Changed(page.entries));
+            return (!page.entries.is_empty()).then_some(StoreChange::Changed(page.entries));
         }
         // Changes that are made while later parts are read come again with the watch.
         self.list_at.get_or_insert(page.at);
@@ -128,7 +128,7 @@
             return None;
         }
         self.at = self.list_at.take();
-        Some(News::Listed(std::mem::take(&mut self.listed)))
+        Some(StoreChange::Listed(std::mem::take(&mut self.listed)))
     }
 
     fn restart(&mut self) {
@@ -137,9 +137,12 @@
         self.listed.clear();
     }
 
-    fn failed(&mut self, rng: &mut impl Rng) -> Next {
+    fn failed(&mut self, rng: &mut impl Rng) -> NextStep {
         let pause = STORE_BACKOFF.pause(self.failures, rng);
         self.failures += 1;
-        Next { news: None, pause }
+        NextStep {
+            change: None,
+            pause,
+        }
     }
 }
--- a/tests/copies.rs
+++ b/tests/copies.rs
@@ -28,7 +28,7 @@
 /// The holders that engines were asked to copy runs to.
 fn wanted(actions: &[Action]) -> Vec<EndpointId> {
     let holders = actions.iter().filter_map(|action| match action {
-        Action::TakeSnapshot { host: holder, .. } => Some(holder.clone()),
+        Action::TakeSnapshot(wanted) => Some(wanted.host.clone()),
         _ => None,
     });
     holders.collect()
--- a/tests/gateway_parts.rs
+++ b/tests/gateway_parts.rs
@@ -8,10 +8,10 @@
 use magpiemoor::gateway::dispatch::record::Record;
 use magpiemoor::gateway::settings::{GatewaySettings, defaults};
 use magpiemoor::gateway::shell::decision_log::DecisionLog;
-use magpiemoor::gateway::shell::dialect::{Entry, Page};
+use magpiemoor::gateway::shell::dialect::{Entry, StorePage};
 use magpiemoor::gateway::shell::events::{EventCutter, RawEvent};
 use magpiemoor::gateway::shell::headers;
-use magpiemoor::gateway::shell::watcher::{News, Step, StepAnswer, Watcher};
+use magpiemoor::gateway::shell::watcher::{StoreAnswer, StoreChange, StoreRequest, Watcher};
 use magpiemoor::schema::{
     BoxState, EndpointUsage, GatewaySettingsFile, Incarnation, StateEntry, StateReply,
     StateRequest, StoreReader, UsageNews,
@@ -81,8 +81,8 @@
     }
 }
 
-fn page(names: &[&str], more: bool, at: u64) -> StepAnswer {
-    StepAnswer::Page(Page {
+fn page(names: &[&str], more: bool, at: u64) -> StoreAnswer {
+    StoreAnswer::StorePage(StorePage {
         entries: names.iter().map(|n| entry(n)).collect(),
         more,
         at,
@@ -93,33 +93,33 @@
 fn a_list_of_several_pages_is_watched_from_its_first_page_on() {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let mut watcher = Watcher::default();
-    assert_eq!(watcher.step(), Step::List { after: None });
+    assert_eq!(watcher.next_request(), StoreRequest::List { after: None });
     assert_eq!(
         watcher
             .on_answer(page(&["a", "b"], true, 10), &mut rng)
-            .news,
+            .change,
         None
     );
     let after = Some("b".to_owned());
-    assert_eq!(watcher.step(), Step::List { after });
+    assert_eq!(watcher.next_request(), StoreRequest::List { after });
     let next = watcher.on_answer(page(&["c"], false, 14), &mut rng);
     let all = ["a", "b", "c"].map(entry).to_vec();
-    assert_eq!(next.news, Some(News::Listed(all)));
-    assert_eq!(watcher.step(), Step::Watch { at: 10 });
+    assert_eq!(next.change, Some(StoreChange::Listed(all)));
+    assert_eq!(watcher.next_request(), StoreRequest::Watch { at: 10 });
     let next = watcher.on_answer(page(&["d"], false, 15), &mut rng);
-    assert_eq!(next.news, Some(News::Changed(vec![entry("d")])));
-    assert_eq!(watcher.step(), Step::Watch { at: 15 });
+    assert_eq!(next.change, Some(StoreChange::Changed(vec![entry("d")])));
+    assert_eq!(watcher.next_request(), StoreRequest::Watch { at: 15 });
 }
 
 #[rstest]
-#[case::history_lost(StepAnswer::HistoryLost)]
-#[case::cut(StepAnswer::Failed)]
-fn a_watch_that_ends_badly_is_followed_by_a_list(#[case] answer: StepAnswer) {
+#[case::history_lost(StoreAnswer::HistoryLost)]
+#[case::cut(StoreAnswer::Failed)]
+fn a_watch_that_ends_badly_is_followed_by_a_list(#[case] answer: StoreAnswer) {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let mut watcher = Watcher::default();
     watcher.on_answer(page(&["a"], false, 10), &mut rng);
     watcher.on_answer(answer, &mut rng);
-    assert_eq!(watcher.step(), Step::List { after: None });
+    assert_eq!(watcher.next_request(), StoreRequest::List { after: None });
 }
 
 /// The trial made 65,493 calls in 34 s because an unexpected 404 was asked again without a pause.
@@ -130,7 +130,7 @@
     let mut waited = Duration::ZERO;
     let mut calls = 0;
     while waited < Duration::from_secs(34) {
-        let pause = watcher.on_answer(StepAnswer::Failed, &mut rng).pause;
+        let pause = watcher.on_answer(StoreAnswer::Failed, &mut rng).pause;
         assert!(
             pause >= Duration::from_millis(25),
             "call {calls} after {pause:?}"
