--- a/src/gateway/dispatch/event.rs
+++ b/src/gateway/dispatch/event.rs
@@ -1,4 +1,4 @@
-//! What can happen to a dispatcher.
+//! What can happen to a dispatcher: events from callers, endpoints, the store, peers and the clock.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -19,7 +19,7 @@
     }
 }
 
-/// One sending of a request to an endpoint, counted from 1.
+/// One attempt of a request, counted from 1.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct AttemptNumber(pub u32);
 
@@ -39,7 +39,7 @@
     }
 }
 
-/// The name of a copy of a run's memory, as its engine gave it.
+/// The name of a snapshot, as the engine that took it gave it.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct SnapshotName(pub String);
 
@@ -52,7 +52,7 @@
 /// What decisions need to know of a caller's request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Arrival {
-    /// The caller's id of this sending.
+    /// The caller's id of this request; another try of the caller has another one.
     pub id: String,
     /// The host that was asked.
     pub host: String,
@@ -110,7 +110,7 @@
 /// The least status of an answer that tells of a fault of the endpoint.
 pub const LEAST_ERROR_STATUS: u16 = 500;
 
-/// How one sending to an endpoint ended.
+/// How an attempt ended.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Outcome {
     /// No byte of the request left this box.
@@ -149,7 +149,7 @@
     }
 }
 
-/// In which way an answer was spoilt.
+/// What was wrong with an answer, or with its lack.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, serde::Deserialize, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Fault {
@@ -166,7 +166,7 @@
 /// Anything that can happen to a dispatcher.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A caller's request was read whole.
+    /// A caller's request has arrived.
     Arrived {
         /// Its number.
         request: RequestNumber,
@@ -179,23 +179,23 @@
     StreamOpened {
         /// The request.
         request: RequestNumber,
-        /// The sending.
+        /// The attempt.
         attempt: AttemptNumber,
     },
     /// Events of a stream came.
     Progress {
         /// The request.
         request: RequestNumber,
-        /// The sending.
+        /// The attempt.
         attempt: AttemptNumber,
         /// The id of the last event that was passed on.
         last_event: u64,
     },
-    /// A sending ended.
+    /// An attempt ended.
     Ended {
         /// The request.
         request: RequestNumber,
-        /// The sending.
+        /// The attempt.
         attempt: AttemptNumber,
         /// How.
         outcome: Outcome,
@@ -225,11 +225,11 @@
     },
     /// The platform's store answered this box.
     StoreAnswered,
-    /// Another box told how it stands.
+    /// Another box sent its state.
     Peer(BoxState),
-    /// Another box told what it has just sent to endpoints.
+    /// Another box told of the attempts that it has just made.
     PeerUsage(UsageNews),
-    /// Another box answered what it was asked for, or didn't.
+    /// A fetch from another box has ended, with an answer or without.
     Fetched(FetchKind),
     /// The settings name other boxes to speak to first.
     Seeds(Vec<SocketAddr>),
@@ -256,15 +256,15 @@
         /// The one that keeps it, if any does.
         endpoint: Option<EndpointId>,
     },
-    /// An engine was asked to copy the memory of a run.
+    /// An engine was asked for a snapshot of an attempt, and answered or didn't.
     SnapshotTaken {
         /// The request.
         request: RequestNumber,
-        /// The sending whose run it is.
+        /// The attempt.
         attempt: AttemptNumber,
-        /// The endpoint that the copy was meant for.
+        /// The endpoint that was to hold it.
         host: EndpointId,
-        /// The copy's name, if it was made.
+        /// The snapshot's name, if it was taken.
         name: Option<SnapshotName>,
     },
 }
--- a/src/gateway/dispatch/record.rs
+++ b/src/gateway/dispatch/record.rs
@@ -1,6 +1,7 @@
-//! Records of decisions: what was decided, on which inputs, and what came of it.
+//! Records of decisions, with their inputs and outcomes; each becomes one line of the decision log.
 //!
-//! Each record becomes one line of the log. Keys of callers never stand in one.
+//! The names of events and fields are those of the log and stay as they are; where one misleads, its comment says what
+//! the field holds. Keys of callers never stand in a record.
 
 use std::borrow::Cow;
 
@@ -13,7 +14,7 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum Record {
-    /// A request was taken in.
+    /// A request was admitted.
     Arrived {
         /// The caller's id.
         request: String,
@@ -24,34 +25,34 @@
         /// Tokens of the prompt.
         prompt: u32,
     },
-    /// A request was sent to an endpoint.
+    /// An attempt was begun.
     Sent {
         /// The caller's id.
         request: String,
-        /// Which sending.
+        /// Which attempt.
         attempt: u32,
         /// The endpoint.
         endpoint: String,
         /// The endpoint's failure domain.
         domain: String,
-        /// Where the memory of the run is copied.
+        /// The host of the mirror.
         backup: Option<String>,
-        /// Whether it goes on from a copy.
+        /// Whether it goes on from a replica, mirror or snapshot.
         from_backup: bool,
         /// The event after which a stream goes on.
         after_event: Option<u64>,
-        /// Tokens of prompts that wait there by this box's count.
+        /// Tokens of prompts that wait there for prefill, by this box's count.
         reading: u32,
         /// Requests that run there by this box's count.
         running: u32,
         /// Milliseconds that are left.
         left_ms: u64,
     },
-    /// A sending ended.
+    /// An attempt ended.
     Ended {
         /// The caller's id.
         request: String,
-        /// Which sending.
+        /// Which attempt.
         attempt: u32,
         /// The endpoint.
         endpoint: String,
@@ -59,7 +60,7 @@
         outcome: Cow<'static, str>,
         /// The status of the answer, or 0.
         status: u16,
-        /// Milliseconds since the sending began.
+        /// Milliseconds since the attempt began.
         after_ms: u64,
         /// The last event that was passed on.
         last_event: Option<u64>,
@@ -82,7 +83,7 @@
         /// Milliseconds since the event before.
         pause_ms: u64,
     },
-    /// An engine was asked for another copy of a run's memory.
+    /// An engine took a snapshot, or could not.
     Copied {
         /// The caller's id.
         request: String,
@@ -93,13 +94,13 @@
         /// Milliseconds that it took.
         after_ms: u64,
     },
-    /// An endpoint has been silent for too long.
+    /// An attempt was left: its endpoint did not answer a probe, or a call took too long.
     Suspected {
         /// The caller's id.
         request: String,
         /// The endpoint.
         endpoint: String,
-        /// Milliseconds since it was last heard.
+        /// Milliseconds since anything of the attempt was heard.
         silent_ms: u64,
     },
     /// A request was given up.
@@ -110,7 +111,7 @@
         reason: RefusalReason,
         /// Milliseconds since its arrival.
         after_ms: u64,
-        /// Sendings that were made.
+        /// Attempts that were made.
         attempts: u32,
         /// The last fault that was met.
         fault: Option<Fault>,
@@ -121,7 +122,7 @@
         request: String,
         /// Milliseconds since its arrival.
         after_ms: u64,
-        /// Sendings that were made.
+        /// Attempts that were made.
         attempts: u32,
     },
     /// The caller left.
@@ -174,6 +175,24 @@
     /// What it says, for a person.
     #[must_use]
     pub fn sentence(&self) -> String {
+        match self {
+            Self::Arrived { .. }
+            | Self::Begun { .. }
+            | Self::Resumed { .. }
+            | Self::Answered { .. }
+            | Self::CallerGone { .. }
+            | Self::Refused { .. } => self.request_sentence(),
+            Self::Sent { .. }
+            | Self::Ended { .. }
+            | Self::Copied { .. }
+            | Self::Suspected { .. } => self.attempt_sentence(),
+            Self::TableInForce { version } => format!("table {version} in force"),
+            Self::Endpoint { endpoint, state } => format!("{endpoint} {state}"),
+            Self::Process { state, detail } => format!("{state} {detail}"),
+        }
+    }
+
+    fn request_sentence(&self) -> String {
         match self {
             Self::Arrived {
                 route,
@@ -181,10 +200,53 @@
                 prompt,
                 ..
             } => format!("arrived for route {route}, table {table}, prompt of {prompt} tokens"),
-            Self::Sent { .. } => self.sent_sentence(),
             Self::Begun {
                 endpoint, after_ms, ..
             } => format!("first event from {endpoint}, {after_ms} ms after the arrival"),
+            Self::Resumed {
+                endpoint, pause_ms, ..
+            } => format!("resumed at {endpoint} after a pause of {pause_ms} ms"),
+            Self::Answered {
+                after_ms, attempts, ..
+            } => format!("answered after {after_ms} ms, attempts: {attempts}"),
+            Self::CallerGone { after_ms, .. } => format!("its caller left after {after_ms} ms"),
+            Self::Refused {
+                reason,
+                after_ms,
+                attempts,
+                fault,
+                ..
+            } => {
+                let fault = fault.map_or(String::new(), |f| format!(", last fault: {f:?}"));
+                let reason = reason.word();
+                format!("given up after {after_ms} ms: {reason}, attempts: {attempts}{fault}")
+            }
+            _ => String::new(),
+        }
+    }
+
+    fn attempt_sentence(&self) -> String {
+        match self {
+            Self::Sent {
+                attempt,
+                endpoint,
+                domain,
+                backup,
+                from_backup,
+                after_event,
+                reading,
+                running,
+                left_ms,
+                ..
+            } => {
+                let from = if *from_backup { " from a replica" } else { "" };
+                let after = after_event.map_or(String::new(), |e| format!(" after event {e}"));
+                let mirror = backup.as_deref().unwrap_or("none");
+                format!(
+                    "attempt {attempt} at {endpoint} in {domain}{from}{after}, mirror: {mirror}; \
+                     running there: {running}, prompt tokens waiting: {reading}; {left_ms} ms left"
+                )
+            }
             Self::Ended {
                 attempt,
                 endpoint,
@@ -193,69 +255,31 @@
                 after_ms,
                 last_event,
                 ..
-            } => format!(
-                "sending {attempt} to {endpoint} ended after {after_ms} ms: {outcome}, status {status}, last event {last_event:?}"
-            ),
-            Self::Resumed {
-                endpoint, pause_ms, ..
-            } => format!("went on at {endpoint} after a pause of {pause_ms} ms"),
+            } => {
+                let status = match status {
+                    0 => String::new(),
+                    status => format!(", status {status}"),
+                };
+                let last = last_event.map_or(String::new(), |e| format!(", last event {e}"));
+                format!(
+                    "attempt {attempt} at {endpoint} ended after {after_ms} ms: {outcome}{status}{last}"
+                )
+            }
             Self::Copied {
                 holder,
                 is_made,
                 after_ms,
                 ..
             } => {
-                let made = if *is_made {
-                    "made"
-                } else {
-                    "could not be made"
-                };
-                format!("another copy {made} at {holder} after {after_ms} ms")
+                let taken = if *is_made { "taken" } else { "not taken" };
+                format!("snapshot {taken} at {holder} after {after_ms} ms")
             }
             Self::Suspected {
                 endpoint,
                 silent_ms,
                 ..
-            } => format!("{endpoint} was silent for {silent_ms} ms and did not answer a probe"),
-            Self::Refused {
-                reason,
-                after_ms,
-                attempts,
-                fault,
-                ..
-            } => format!(
-                "given up after {after_ms} ms and {attempts} sendings: {reason:?}, last fault {fault:?}"
-            ),
-            Self::Answered {
-                after_ms, attempts, ..
-            } => format!("answered after {after_ms} ms and {attempts} sendings"),
-            Self::CallerGone { after_ms, .. } => format!("its caller left after {after_ms} ms"),
-            Self::TableInForce { version } => format!("table {version} in force"),
-            Self::Endpoint { endpoint, state } => format!("{endpoint} {state}"),
-            Self::Process { state, detail } => format!("{state} {detail}"),
+            } => format!("left {endpoint} after {silent_ms} ms without a word"),
+            _ => String::new(),
         }
     }
-
-    fn sent_sentence(&self) -> String {
-        let Self::Sent {
-            attempt,
-            endpoint,
-            domain,
-            backup,
-            from_backup,
-            after_event,
-            reading,
-            running,
-            left_ms,
-            ..
-        } = self
-        else {
-            return String::new();
-        };
-        let how = if *from_backup { " from its copy" } else { "" };
-        let backup = backup.as_deref().unwrap_or("nowhere");
-        format!(
-            "sending {attempt} to {endpoint} in {domain}{how} after event {after_event:?}, copied to {backup}; there by the box's count {running} requests and {reading} tokens to read; {left_ms} ms left"
-        )
-    }
 }
--- a/src/gateway/dispatch/refusal.rs
+++ b/src/gateway/dispatch/refusal.rs
@@ -46,6 +46,20 @@
 }
 
 impl RefusalReason {
+    /// The word for it in records and metrics.
+    #[must_use]
+    pub fn word(self) -> &'static str {
+        match self {
+            Self::NoConfiguration => "no_configuration",
+            Self::NoRoute => "no_route",
+            Self::UnknownKey => "unknown_key",
+            Self::NoEndpoint => "no_endpoint",
+            Self::ExpiredNotRun => "expired_not_run",
+            Self::Expired => "expired",
+            Self::EndpointFailed => "endpoint_failed",
+        }
+    }
+
     /// The reason where the time of a request is over.
     #[must_use]
     pub fn when_expired(has_run: HasRun) -> Self {
--- a/src/gateway/explain.rs
+++ b/src/gateway/explain.rs
@@ -1,5 +1,4 @@
-//! Explains a request from the decision logs of several boxes: what was known, what was decided,
-//! and what came of it.
+//! Explains a request from the decision logs of several boxes: its records in order, and the cause in one sentence.
 //!
 //! The logs may be plain files or the output of a tool that puts a time and a name before each
 //! line; such a time goes before that of the line, since all lines have it from one clock.
@@ -83,14 +82,12 @@
             Self::ExpiredNotRun => "Its time was over before any endpoint took it; it has not run.",
             Self::Expired => "Its time was over while an endpoint worked on it.",
             Self::ConnectionLost => {
-                "The connection to the endpoint broke after it was sent, and it could not be sent again."
+                "The connection to the endpoint broke after it was sent, and it could not be repeated."
             }
             Self::EndpointSilent => {
-                "The endpoint fell silent after it was sent, and it could not be sent again."
-            }
-            Self::AnswerSpoilt => {
-                "The endpoint's answer was spoilt, and it could not be sent again."
+                "The endpoint fell silent after it was sent, and it could not be repeated."
             }
+            Self::AnswerSpoilt => "The endpoint's answer was spoilt, and it could not be repeated.",
             Self::NoEnd => {
                 "Its box wrote no end of it: the box was killed or lost power, or serves it still."
             }
--- a/src/gateway/shell/metrics.rs
+++ b/src/gateway/shell/metrics.rs
@@ -6,7 +6,6 @@
 use prometheus::{Histogram, IntCounter, IntCounterVec, IntGauge};
 
 use crate::gateway::dispatch::record::Record;
-use crate::gateway::dispatch::refusal::RefusalReason;
 use crate::metrics::MetricSet;
 
 /// Upper bounds of the buckets for what callers, the store and losses take, in seconds. Chosen around the
@@ -120,7 +119,7 @@
             Record::Refused {
                 reason, after_ms, ..
             } => {
-                self.refusals.with_label_values(&[word(*reason)]).inc();
+                self.refusals.with_label_values(&[reason.word()]).inc();
                 self.refusal_seconds.observe(seconds(*after_ms));
             }
             _ => {}
@@ -140,18 +139,6 @@
     }
 }
 
-fn word(reason: RefusalReason) -> &'static str {
-    match reason {
-        RefusalReason::NoConfiguration => "no_configuration",
-        RefusalReason::NoRoute => "no_route",
-        RefusalReason::UnknownKey => "unknown_key",
-        RefusalReason::NoEndpoint => "no_endpoint",
-        RefusalReason::ExpiredNotRun => "expired_not_run",
-        RefusalReason::Expired => "expired",
-        RefusalReason::EndpointFailed => "endpoint_failed",
-    }
-}
-
 fn seconds(millis: u64) -> f64 {
     millis as f64 / 1_000.0
 }
