--- a/src/gateway/shell.rs
+++ b/src/gateway/shell.rs
@@ -11,6 +11,7 @@
 pub mod dialect;
 pub mod events;
 pub mod exchange;
+pub mod faults;
 pub mod headers;
 pub mod input;
 pub mod metrics;
--- a/src/gateway/shell/control.rs
+++ b/src/gateway/shell/control.rs
@@ -128,11 +128,13 @@
             }
             Action::WatchStore(is_watching) => self.shared.set_watching_store(is_watching),
             Action::Gossip { to, state } => {
-                let telling = peers::send_state(Arc::clone(&self.gossip), to, *state);
+                let telling =
+                    peers::send_state(Arc::clone(&self.gossip), to, *state, self.shared.clone());
                 self.traffic.spawn(telling);
             }
             Action::GossipUsage { to, news } => {
-                let telling = peers::send_usage(Arc::clone(&self.gossip), to, news);
+                let telling =
+                    peers::send_usage(Arc::clone(&self.gossip), to, news, self.shared.clone());
                 self.traffic.spawn(telling);
             }
             Action::FetchState { from, kind, wanted } => {
--- a/src/gateway/shell/dialect.rs
+++ b/src/gateway/shell/dialect.rs
@@ -2,6 +2,7 @@
 //!
 //! A dialect only translates. It makes no decision, keeps no state, and does no input or output.
 
+use std::fmt;
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -21,6 +22,21 @@
     pub message: String,
 }
 
+/// Why something that came from outside can't be read.
+#[derive(Clone, Debug, Eq, PartialEq)]
+pub struct Unreadable {
+    /// What can't be read, why, and the remedy.
+    pub message: String,
+}
+
+impl fmt::Display for Unreadable {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(&self.message)
+    }
+}
+
+impl std::error::Error for Unreadable {}
+
 /// What the head of an endpoint's answer says.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum AnswerKind {
@@ -93,8 +109,12 @@
     /// The path and body with which an engine is asked to copy the memory of a run.
     fn snapshot_request(&self, run: &str, to: SocketAddr) -> (&'static str, String);
 
-    /// Reads the name of the copy that was made.
-    fn read_snapshot(&self, body: &[u8]) -> Option<SnapshotName>;
+    /// Reads the name of the snapshot that was taken.
+    ///
+    /// # Errors
+    ///
+    /// Says why it can't be read.
+    fn read_snapshot(&self, body: &[u8]) -> Result<SnapshotName, Unreadable>;
 
     /// The path whose deletion drops a copy.
     fn drop_snapshot_path(&self, name: &SnapshotName) -> String;
@@ -115,10 +135,18 @@
     fn watch_path(&self, source: ObjectKind, at: u64, wait: Duration) -> String;
 
     /// Reads the answer to a list.
-    fn read_list(&self, body: &[u8]) -> Option<StorePage>;
+    ///
+    /// # Errors
+    ///
+    /// Says why it can't be read.
+    fn read_list(&self, body: &[u8]) -> Result<StorePage, Unreadable>;
 
     /// Reads the answer to a watch.
-    fn read_watch(&self, body: &[u8]) -> Option<StorePage>;
+    ///
+    /// # Errors
+    ///
+    /// Says why it can't be read.
+    fn read_watch(&self, body: &[u8]) -> Result<StorePage, Unreadable>;
 
     /// Reads the operators' configuration; `None` where an object holds something else.
     ///
@@ -128,5 +156,9 @@
     fn read_table(&self, entry: &Entry) -> Option<Result<RoutingTable, TableError>>;
 
     /// Reads an entry of the list of endpoints.
-    fn read_endpoint(&self, entry: &Entry) -> Option<EndpointSpec>;
+    ///
+    /// # Errors
+    ///
+    /// Says why it can't be read.
+    fn read_endpoint(&self, entry: &Entry) -> Result<EndpointSpec, Unreadable>;
 }
--- a/src/gateway/shell/peers.rs
+++ b/src/gateway/shell/peers.rs
@@ -1,7 +1,7 @@
-//! The way to other boxes: how each stands by UDP, what was read from the platform by TCP.
+//! The way to other boxes: the state of each by UDP, what was read from the platform by TCP.
 //!
-//! Both are postcard of the types in `schema/gateway.schema.json`; TCP messages come after their
-//! length.
+//! Both are postcard of the types in `schema/gateway.schema.json`; TCP messages come after their length. A datagram that
+//! is lost is made good by the next one, a fetch that fails is made again; both are counted as faults.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,6 +16,7 @@
 use crate::gateway::dispatch::event::Event;
 use crate::gateway::dispatch::peers::FetchKind;
 use crate::gateway::shell::dialect::{Entry, ObjectKind};
+use crate::gateway::shell::faults::{FaultKind, Faults};
 use crate::gateway::shell::input::Input;
 use crate::gateway::shell::watcher::StoreChange;
 use crate::gateway::shell::{GatewayShared, store};
@@ -31,59 +32,95 @@
 const LONGEST_MESSAGE: u32 = 16 << 20;
 /// How long a connection to another box may take.
 const FETCH_CONNECT_LIMIT: Duration = Duration::from_millis(300);
+/// The pause after a socket failed, for which the reason is mostly a lack of descriptors. Chosen, not measured.
+const SOCKET_PAUSE: Duration = Duration::from_millis(10);
 /// How many peers are sent endpoints at once; others are turned away and ask somebody else.
 const MOST_LISTS: usize = 3;
 
-/// Tells other boxes how this one stands.
-pub async fn send_state(socket: Arc<UdpSocket>, to: Vec<SocketAddr>, state: BoxState) {
-    send(&socket, &to, STATE, &state).await;
+/// Sends this box's state to other boxes.
+pub async fn send_state(
+    socket: Arc<UdpSocket>,
+    to: Vec<SocketAddr>,
+    state: BoxState,
+    shared: GatewayShared,
+) {
+    send(&socket, &to, STATE, &state, &shared.faults).await;
 }
 
-/// Tells other boxes what this one has just sent to endpoints.
-pub async fn send_usage(socket: Arc<UdpSocket>, to: Vec<SocketAddr>, news: UsageNews) {
-    send(&socket, &to, USAGE, &news).await;
+/// Tells other boxes of the attempts that this one has just made.
+pub async fn send_usage(
+    socket: Arc<UdpSocket>,
+    to: Vec<SocketAddr>,
+    news: UsageNews,
+    shared: GatewayShared,
+) {
+    send(&socket, &to, USAGE, &news, &shared.faults).await;
 }
 
-async fn send(socket: &UdpSocket, to: &[SocketAddr], kind: u8, message: &impl Serialize) {
-    let Ok(bytes) = postcard::to_extend(message, vec![kind]) else {
-        return;
+async fn send(
+    socket: &UdpSocket,
+    to: &[SocketAddr],
+    kind: u8,
+    message: &impl Serialize,
+    faults: &Faults,
+) {
+    let bytes = match postcard::to_extend(message, vec![kind]) {
+        Ok(bytes) => bytes,
+        Err(e) => return faults.note(FaultKind::PeerSocket, &e),
     };
     for address in to {
-        // A lost datagram is made good by the next one.
-        let _ = socket.send_to(&bytes, address).await;
+        if let Err(e) = socket.send_to(&bytes, address).await {
+            faults.note(FaultKind::PeerSocket, &format_args!("to {address}: {e}"));
+        }
     }
 }
 
-/// Hears how other boxes stand, for as long as the process runs.
+/// Receives what other boxes send by UDP, for as long as the process runs.
 pub async fn hear(socket: Arc<UdpSocket>, shared: GatewayShared) {
     let mut buf = vec![0; LONGEST_DATAGRAM];
     loop {
-        let Ok((length, _)) = socket.recv_from(&mut buf).await else {
-            tokio::time::sleep(Duration::from_millis(10)).await;
-            continue;
+        let length = match socket.recv_from(&mut buf).await {
+            Ok((length, _)) => length,
+            Err(e) => {
+                shared.faults.note(FaultKind::PeerSocket, &e);
+                tokio::time::sleep(SOCKET_PAUSE).await;
+                continue;
+            }
         };
-        if let Some(event) = read_datagram(&buf[..length]) {
-            shared.send(Input::Event(event)).await;
+        match read_datagram(&buf[..length]) {
+            Ok(event) => shared.send(Input::Event(event)).await,
+            Err(e) => shared.faults.note(FaultKind::PeerMessage, &e),
         }
     }
 }
 
-/// Reads a datagram of another box; `None` if it is of another kind, or spoilt.
-#[must_use]
-pub fn read_datagram(bytes: &[u8]) -> Option<Event> {
-    let (kind, body) = bytes.split_first()?;
-    match *kind {
-        STATE => postcard::from_bytes(body).ok().map(Event::Peer),
-        USAGE => postcard::from_bytes(body).ok().map(Event::PeerUsage),
-        _ => None,
+/// Reads a datagram of another box.
+///
+/// # Errors
+///
+/// If it is of an unknown kind, or can't be read.
+pub fn read_datagram(bytes: &[u8]) -> Result<Event, postcard::Error> {
+    match bytes.split_first() {
+        Some((&STATE, body)) => postcard::from_bytes(body).map(Event::Peer),
+        Some((&USAGE, body)) => postcard::from_bytes(body).map(Event::PeerUsage),
+        Some(_) => Err(postcard::Error::DeserializeBadEnum),
+        None => Err(postcard::Error::DeserializeUnexpectedEnd),
     }
 }
 
 /// Asks another box for what it read from the platform.
 pub async fn fetch(from: SocketAddr, kind: FetchKind, wanted: StateRequest, shared: GatewayShared) {
     let asked = tokio::time::timeout(kind.limit(), ask(from, &wanted)).await;
-    if let Ok(Ok(reply)) = asked {
-        take_in(reply, &wanted, &shared).await;
+    match asked {
+        Ok(Ok(reply)) => take_in(reply, &wanted, &shared).await,
+        Ok(Err(e)) => {
+            let detail = format_args!("{kind:?} from {from}: {e}");
+            shared.faults.note(FaultKind::PeerFetch, &detail);
+        }
+        Err(_) => {
+            let detail = format_args!("{kind:?} from {from}: no answer in {:?}", kind.limit());
+            shared.faults.note(FaultKind::PeerFetch, &detail);
+        }
     }
     shared.send(Input::Event(Event::Fetched(kind))).await;
 }
@@ -125,9 +162,13 @@
 pub async fn accept(listener: TcpListener, shared: GatewayShared) {
     let lists = Arc::new(Semaphore::new(MOST_LISTS));
     loop {
-        let Ok((socket, _)) = listener.accept().await else {
-            tokio::time::sleep(Duration::from_millis(10)).await;
-            continue;
+        let socket = match listener.accept().await {
+            Ok((socket, _)) => socket,
+            Err(e) => {
+                shared.faults.note(FaultKind::PeerSocket, &e);
+                tokio::time::sleep(SOCKET_PAUSE).await;
+                continue;
+            }
         };
         let shared = shared.clone();
         let lists = Arc::clone(&lists);
--- a/src/gateway/shell/shared.rs
+++ b/src/gateway/shell/shared.rs
@@ -14,6 +14,7 @@
 use crate::gateway::settings::GatewaySettings;
 use crate::gateway::shell::decision_log::DecisionLog;
 use crate::gateway::shell::dialect::{Dialect, Entry};
+use crate::gateway::shell::faults::Faults;
 use crate::gateway::shell::headers;
 use crate::gateway::shell::input::Input;
 use crate::gateway::shell::metrics::GatewayMetrics;
@@ -46,6 +47,8 @@
     pub log: Arc<DecisionLog>,
     /// The metrics.
     pub metrics: Arc<GatewayMetrics>,
+    /// Faults that cost no request by themselves.
+    pub faults: Arc<Faults>,
     /// The way to the control thread.
     pub inputs: mpsc::Sender<Input>,
     /// Connections to endpoints.
@@ -88,12 +91,14 @@
     ) -> Result<Self, DaemonError> {
         let log = DecisionLog::start(settings.box_id.clone(), std::io::stdout())
             .map_err(DaemonError::Threads)?;
+        let metrics = GatewayMetrics::new();
         Ok(Self {
             settings: Arc::new(settings),
             dialect,
             clock: Monotonic::start(),
             log: Arc::new(log),
-            metrics: Arc::new(GatewayMetrics::new()),
+            faults: Arc::new(Faults::new(metrics.set())),
+            metrics: Arc::new(metrics),
             inputs,
             pool: Arc::new(Pool::new(KEPT_PER_ENDPOINT)),
             closing: watch::channel(false).0,
--- a/src/gateway/shell/snapshots.rs
+++ b/src/gateway/shell/snapshots.rs
@@ -11,6 +11,7 @@
 use crate::gateway::dispatch::action::SnapshotRequest;
 use crate::gateway::dispatch::event::{Event, SnapshotName};
 use crate::gateway::shell::GatewayShared;
+use crate::gateway::shell::faults::FaultKind;
 use crate::gateway::shell::input::Input;
 use crate::http::pool::Pool;
 
@@ -39,7 +40,13 @@
     let json = HeaderValue::from_static("application/json");
     request.headers_mut().insert(CONTENT_TYPE, json);
     let body = exchange(wanted.engine, request, wanted.limit, shared).await?;
-    shared.dialect.read_snapshot(&body)
+    match shared.dialect.read_snapshot(&body) {
+        Ok(name) => Some(name),
+        Err(e) => {
+            shared.faults.note(FaultKind::SnapshotAnswer, &e);
+            None
+        }
+    }
 }
 
 /// Has an engine drop a snapshot; one that can't be reached forgets it by itself.
@@ -50,6 +57,7 @@
         return;
     };
     *request.uri_mut() = path;
+    // The engine forgets it after `replica_kept` if this is lost.
     let _ = tokio::time::timeout(DROP_LIMIT, exchange(engine, request, DROP_LIMIT, &shared)).await;
 }
 
--- a/src/gateway/shell/store.rs
+++ b/src/gateway/shell/store.rs
@@ -8,13 +8,15 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::backoff::doubled;
-use crate::gateway::dispatch::event::{EndpointChange, Event};
+use crate::gateway::dispatch::event::{EndpointChange, EndpointSpec, Event};
 use crate::gateway::dispatch::record::Record;
 use crate::gateway::shell::GatewayShared;
 use crate::gateway::shell::dialect::{Entry, ObjectKind};
+use crate::gateway::shell::faults::FaultKind;
 use crate::gateway::shell::input::Input;
 use crate::gateway::shell::watcher::{StoreAnswer, StoreChange, StoreRequest, Watcher};
 use crate::http::pool::{Connection, Pool};
+use crate::schema::EndpointId;
 
 /// How long configurations gather.
 const GATHER_TABLES: Duration = Duration::from_millis(100);
@@ -121,7 +123,13 @@
                 } else {
                     dialect.read_list(&body)
                 };
-                page.map_or(StoreAnswer::Failed, StoreAnswer::StorePage)
+                match page {
+                    Ok(page) => StoreAnswer::Page(page),
+                    Err(e) => {
+                        shared.faults.note(FaultKind::StoreAnswer, &e);
+                        StoreAnswer::Failed
+                    }
+                }
             }
             None | Some(_) => StoreAnswer::Failed,
         };
@@ -161,7 +169,7 @@
             };
             let specs = entries
                 .iter()
-                .filter_map(|e| shared.dialect.read_endpoint(e))
+                .filter_map(|entry| read_endpoint(entry, shared))
                 .collect();
             let event = Event::EndpointsListed { specs, at };
             shared.send(Input::Event(event)).await;
@@ -181,13 +189,27 @@
 }
 
 fn change_of(entry: &Entry, shared: &GatewayShared) -> Option<EndpointChange> {
-    if entry.text.is_none() {
-        return entry.name.parse().ok().map(EndpointChange::Absent);
+    if entry.text.is_some() {
+        return read_endpoint(entry, shared).map(EndpointChange::Present);
+    }
+    let id = entry.name.parse::<EndpointId>();
+    id.map_err(|e| {
+        let detail = format_args!("{:?}: {e}", entry.name);
+        shared.faults.note(FaultKind::EndpointEntry, &detail);
+    })
+    .ok()
+    .map(EndpointChange::Absent)
+}
+
+/// Reads an entry of the list; one that can't be read counts as not listed, and is told of.
+fn read_endpoint(entry: &Entry, shared: &GatewayShared) -> Option<EndpointSpec> {
+    match shared.dialect.read_endpoint(entry) {
+        Ok(spec) => Some(spec),
+        Err(e) => {
+            shared.faults.note(FaultKind::EndpointEntry, &e);
+            None
+        }
     }
-    shared
-        .dialect
-        .read_endpoint(entry)
-        .map(EndpointChange::Present)
 }
 
 /// Takes a configuration in, wherever it was read.
--- a/src/gateway/shell/watcher.rs
+++ b/src/gateway/shell/watcher.rs
@@ -38,7 +38,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum StoreAnswer {
     /// What was asked for.
-    StorePage(StorePage),
+    Page(StorePage),
     /// The changes since that revision are no longer known.
     HistoryLost,
     /// Anything else.
@@ -99,7 +99,7 @@
     /// Takes in the answer to a step.
     pub fn on_answer(&mut self, answer: StoreAnswer, rng: &mut impl Rng) -> NextStep {
         match answer {
-            StoreAnswer::StorePage(page) => {
+            StoreAnswer::Page(page) => {
                 self.failures = 0;
                 NextStep {
                     change: self.on_page(page),
--- a/tests/gateway_metrics.rs
+++ b/tests/gateway_metrics.rs
@@ -2,6 +2,7 @@
 
 use magpiemoor::gateway::dispatch::record::Record;
 use magpiemoor::gateway::dispatch::refusal::RefusalReason;
+use magpiemoor::gateway::shell::faults::{FaultKind, Faults};
 use magpiemoor::gateway::shell::metrics::GatewayMetrics;
 use rstest::rstest;
 
@@ -82,3 +83,19 @@
     assert!(text.contains(&format!("# TYPE magpiemoor_gateway_{name} histogram")));
     assert!(text.contains(&format!("# HELP magpiemoor_gateway_{name} ")));
 }
+
+#[test]
+fn faults_are_counted_by_kind() {
+    let metrics = GatewayMetrics::new();
+    let faults = Faults::new(metrics.set());
+    for kind in FaultKind::ALL {
+        faults.note(kind, &"what went wrong");
+    }
+    faults.note(FaultKind::StoreAnswer, &"again, at once");
+    let text = String::from_utf8(metrics.set().text()).unwrap();
+    for kind in FaultKind::ALL {
+        let count = if kind == FaultKind::StoreAnswer { 2 } else { 1 };
+        let line = format!("faults_total{{kind=\"{}\"}} {count}", kind.word());
+        assert!(text.contains(&line), "{line} is not in {text}");
+    }
+}
--- a/tests/gateway_parts.rs
+++ b/tests/gateway_parts.rs
@@ -82,7 +82,7 @@
 }
 
 fn page(names: &[&str], more: bool, at: u64) -> StoreAnswer {
-    StoreAnswer::StorePage(StorePage {
+    StoreAnswer::Page(StorePage {
         entries: names.iter().map(|n| entry(n)).collect(),
         more,
         at,
