--- a/src/gateway/settings.rs
+++ b/src/gateway/settings.rs
@@ -89,91 +89,88 @@
     GatewaySettings::try_from(file::parse_as::<GatewaySettingsFile>(&text)?)
 }
 
+/// Lays settings over others: what `upper` gives, wins.
+fn overlay(upper: GatewaySettingsFile, lower: GatewaySettingsFile) -> GatewaySettingsFile {
+    GatewaySettingsFile {
+        box_id: upper.box_id.or(lower.box_id),
+        domain: upper.domain.or(lower.domain),
+        callers: upper.callers.or(lower.callers),
+        health: upper.health.or(lower.health),
+        metrics: upper.metrics.or(lower.metrics),
+        peers_address: upper.peers_address.or(lower.peers_address),
+        seeds: upper.seeds,
+        platform: upper.platform.or(lower.platform),
+        fleet_boxes: upper.fleet_boxes.or(lower.fleet_boxes),
+        retry_ratio: upper.retry_ratio.or(lower.retry_ratio),
+        retry_reserve: upper.retry_reserve.or(lower.retry_reserve),
+        retry_window_s: upper.retry_window_s.or(lower.retry_window_s),
+        stop_grace_s: upper.stop_grace_s.or(lower.stop_grace_s),
+        gossip_ms: upper.gossip_ms.or(lower.gossip_ms),
+        watch_ms: upper.watch_ms.or(lower.watch_ms),
+        held_bytes: upper.held_bytes.or(lower.held_bytes),
+        traffic_threads: upper.traffic_threads.or(lower.traffic_threads),
+        log_level: upper.log_level.or(lower.log_level),
+    }
+}
+
+fn retry_policy(
+    check: &mut Checker,
+    ratio: Option<f64>,
+    reserve: Option<f64>,
+    window_s: Option<f64>,
+) -> RetryPolicy {
+    RetryPolicy {
+        ratio: check.number("retry_ratio", ratio, 0.0, 10.0),
+        reserve: check.number("retry_reserve", reserve, 0.0, 1e6),
+        window: seconds(check, "retry_window_s", window_s, (0.1, 600.0)),
+    }
+}
+
 impl TryFrom<GatewaySettingsFile> for GatewaySettings {
     type Error = Vec<SettingsError>;
 
     fn try_from(file: GatewaySettingsFile) -> Result<Self, Self::Error> {
-        let base = defaults();
+        let file = overlay(file, defaults());
         let mut check = Checker::default();
-        let peers_address =
-            check.address("peers_address", file.peers_address.or(base.peers_address));
+        let peers_address = check.address("peers_address", file.peers_address);
         let settings = Self {
             box_id: check.or_placeholder(
                 "box_id",
-                file.box_id.or(base.box_id),
+                file.box_id,
                 "give the box a name of 1 to 128 characters",
             ),
             domain: check.or_placeholder(
                 "domain",
-                file.domain.or(base.domain),
+                file.domain,
                 "give the failure domain a name of 1 to 128 characters",
             ),
-            callers: check.address("callers", file.callers.or(base.callers)),
-            health: check.address("health", file.health.or(base.health)),
-            metrics: check.address("metrics", file.metrics.or(base.metrics)),
+            callers: check.address("callers", file.callers),
+            health: check.address("health", file.health),
+            metrics: check.address("metrics", file.metrics),
             peers_address,
             seeds: seeds(&mut check, &file.seeds, peers_address.port()),
-            platform: check.address("platform", file.platform.or(base.platform)),
-            fleet_boxes: check.size(
-                "fleet_boxes",
-                file.fleet_boxes.or(base.fleet_boxes),
-                1,
-                10_000,
+            platform: check.address("platform", file.platform),
+            fleet_boxes: check.size("fleet_boxes", file.fleet_boxes, 1, 10_000),
+            retries: retry_policy(
+                &mut check,
+                file.retry_ratio,
+                file.retry_reserve,
+                file.retry_window_s,
             ),
-            retries: RetryPolicy {
-                ratio: check.number(
-                    "retry_ratio",
-                    file.retry_ratio.or(base.retry_ratio),
-                    0.0,
-                    10.0,
-                ),
-                reserve: check.number(
-                    "retry_reserve",
-                    file.retry_reserve.or(base.retry_reserve),
-                    0.0,
-                    1e6,
-                ),
-                window: seconds(
-                    &mut check,
-                    "retry_window_s",
-                    file.retry_window_s.or(base.retry_window_s),
-                    (0.1, 600.0),
-                ),
-            },
             stop_grace: seconds(
                 &mut check,
                 "stop_grace_s",
-                file.stop_grace_s.or(base.stop_grace_s),
+                file.stop_grace_s,
                 (0.0, 3_600.0),
             ),
-            gossip: millis(
-                &mut check,
-                "gossip_ms",
-                file.gossip_ms.or(base.gossip_ms),
-                (20, 60_000),
-            ),
-            watch: millis(
-                &mut check,
-                "watch_ms",
-                file.watch_ms.or(base.watch_ms),
-                (100, 30_000),
-            ),
-            held_bytes: check.size(
-                "held_bytes",
-                file.held_bytes.or(base.held_bytes),
-                1 << 16,
-                1 << 40,
-            ),
-            traffic_threads: check.size(
-                "traffic_threads",
-                file.traffic_threads.or(base.traffic_threads),
-                1,
-                64,
-            ),
+            gossip: millis(&mut check, "gossip_ms", file.gossip_ms, (20, 60_000)),
+            watch: millis(&mut check, "watch_ms", file.watch_ms, (100, 30_000)),
+            held_bytes: check.size("held_bytes", file.held_bytes, 1 << 16, 1 << 40),
+            traffic_threads: check.size("traffic_threads", file.traffic_threads, 1, 64),
             log_level: check
                 .parse(
                     "log_level",
-                    file.log_level.or(base.log_level),
+                    file.log_level,
                     "use off, error, warn, info, debug or trace",
                 )
                 .unwrap_or(LevelFilter::Info),
--- a/src/keyed/command.rs
+++ b/src/keyed/command.rs
@@ -10,10 +10,7 @@
 use crate::keyed::settings::{Settings, overlay};
 use crate::logs;
 use crate::schema::SettingsFile;
-use crate::settings::{SettingsError, file};
-
-/// The exit code for settings or a log that can't be used.
-const BAD_SETTINGS: u8 = 2;
+use crate::settings::{BAD_SETTINGS, SettingsError, file};
 
 /// Builds the daemon's command line.
 #[must_use]
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -10,6 +10,9 @@
 use std::net::SocketAddr;
 use std::str::FromStr;
 
+/// The exit code of a daemon whose settings or log can't be used.
+pub const BAD_SETTINGS: u8 = 2;
+
 /// A setting that can't be used.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SettingsError {
