--- a/src/gateway/shell.rs
+++ b/src/gateway/shell.rs
@@ -43,12 +43,12 @@
 
 pub use shared::GatewayShared;
 
-/// How many inputs may wait for the control thread before senders wait.
+/// How many inputs may wait for the control thread before senders wait. Chosen, not measured.
 const DISPATCHER_INPUTS: usize = 16_384;
 /// How long a connection to an endpoint may rest before it is closed. Chosen a little longer than any attempt
 /// may reuse one, not measured.
 const REST_BEFORE_CLOSE: std::time::Duration = std::time::Duration::from_secs(5);
-/// How long a connection may rest before there is a configuration.
+/// How long a connection may rest before there is a configuration. Chosen, not measured.
 const UNCONFIGURED_IDLE: std::time::Duration = std::time::Duration::from_secs(15);
 
 struct Listeners {
--- a/src/gateway/shell/callers.rs
+++ b/src/gateway/shell/callers.rs
@@ -1,4 +1,7 @@
-//! The callers' face: reads requests whole and gives each to an exchange of its own.
+//! Takes callers' requests: reads each whole and gives it to an exchange of its own.
+//!
+//! What can't be read is refused here with the reason in the body (400, 408, 413), and what there is no room for as not run;
+//! everything else is decided by [`crate::gateway::dispatch`].
 
 use std::panic::AssertUnwindSafe;
 use std::pin::Pin;
@@ -32,7 +35,7 @@
 }
 
 impl Callers {
-    /// Makes the callers' face.
+    /// A handler for the callers' listener.
     #[must_use]
     pub fn new(shared: GatewayShared) -> Self {
         Self {
--- a/src/gateway/shell/dialect.rs
+++ b/src/gateway/shell/dialect.rs
@@ -100,7 +100,7 @@
     /// Who answered a health check.
     fn instance(&self, headers: &HeaderMap) -> Option<EndpointId>;
 
-    /// The path at which an endpoint tells how it stands.
+    /// The path of an endpoint's load report.
     fn load_path(&self) -> &'static str;
 
     /// Whether what answered this at the path of [`Self::load_path`] is a model engine.
--- a/src/gateway/shell/events.rs
+++ b/src/gateway/shell/events.rs
@@ -4,7 +4,7 @@
 
 use bytes::{Bytes, BytesMut};
 
-/// The longest event that is taken, in bytes.
+/// The longest event that is taken, in bytes. Chosen, not measured.
 const LONGEST_EVENT: usize = 1 << 20;
 
 /// A whole event.
@@ -77,6 +77,7 @@
     }
 }
 
+/// The id of an event; one that is no number counts as none, and the event is passed on all the same.
 fn id_of(event: &[u8]) -> Option<u64> {
     let lines = event.split(|b| *b == b'\n' || *b == b'\r');
     let mut id = None;
--- a/src/gateway/shell/headers.rs
+++ b/src/gateway/shell/headers.rs
@@ -1,4 +1,4 @@
-//! Headers that concern one connection only, and other plain reading of heads.
+//! Which headers are passed on, and other plain reading of heads.
 
 use gotham::hyper::header::{self, HeaderName};
 use gotham::hyper::{HeaderMap, Uri};
@@ -16,7 +16,7 @@
     "upgrade",
 ];
 
-/// A header as text.
+/// A header as text; one that is no visible ASCII counts as absent, since nothing here is decided by such a one.
 #[must_use]
 pub fn text(headers: &HeaderMap, name: impl header::AsHeaderName) -> Option<&str> {
     headers.get(name)?.to_str().ok()
--- a/src/gateway/shell/input.rs
+++ b/src/gateway/shell/input.rs
@@ -1,4 +1,4 @@
-//! What the control thread is told.
+//! The inputs of the control thread, from all other tasks.
 
 use tokio::sync::mpsc;
 
--- a/src/gateway/shell/operators.rs
+++ b/src/gateway/shell/operators.rs
@@ -1,4 +1,4 @@
-//! What operators and the platform ask a gateway: whether it is ready, and its metrics.
+//! Answers the platform and operators: whether the box is ready, and its metrics.
 
 use std::panic::AssertUnwindSafe;
 use std::pin::Pin;
@@ -22,7 +22,7 @@
 }
 
 impl Operators {
-    /// Makes the operators' face.
+    /// A handler for both listeners.
     #[must_use]
     pub fn new(shared: GatewayShared) -> Self {
         Self {
--- a/src/gateway/shell/probes.rs
+++ b/src/gateway/shell/probes.rs
@@ -1,4 +1,7 @@
-//! Asks endpoints how they stand.
+//! Small questions to endpoints: whether one answers, which of them keeps a prompt, and who has an address now.
+//!
+//! Each is one request on a rested connection or a new one, within a short limit; no answer is an answer too, so failures
+//! here are reported as such and are no faults. Relies on: [`super::dialect`] for paths and bodies.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -13,13 +16,13 @@
 use crate::http::pool::{Connection, Pool};
 use crate::schema::EndpointId;
 
-/// How long a connection may have rested for a probe.
+/// How long a connection may have rested for a probe. Chosen, not measured.
 const PROBE_REST: Duration = Duration::from_secs(4);
 
-/// How long endpoints may take to say what they keep.
+/// How long an endpoint may take to say what it keeps, or who it is: a caller waits meanwhile. Chosen, not measured.
 const LOCATE_LIMIT: Duration = Duration::from_millis(80);
 
-/// Asks an endpoint how it stands and tells what came of it.
+/// Probes an endpoint and reports whether it answered.
 pub async fn probe(
     endpoint: EndpointId,
     address: SocketAddr,
@@ -36,7 +39,7 @@
     shared.send(Input::Event(event)).await;
 }
 
-/// Asks endpoints which of them keeps a part of a prompt and tells of the first that does.
+/// Asks engines which of them keeps a part of a prompt, and reports the first that does.
 pub async fn locate(
     request: RequestNumber,
     part: String,
@@ -69,7 +72,7 @@
     shared.send(Input::Event(event)).await;
 }
 
-/// Asks what has an endpoint's address who it is.
+/// Asks whoever has an endpoint's address who it is.
 pub async fn ask_identity(spec: EndpointSpec, path: String, shared: GatewayShared) {
     shared.metrics.probes.inc();
     let asking = async {
@@ -86,7 +89,7 @@
     }
 }
 
-/// Finds out whether what has an address now is a model engine.
+/// Finds out whether whoever has an address now is a model engine.
 pub async fn identify(spec: EndpointSpec, shared: GatewayShared) {
     let address = spec.address;
     let path = shared.dialect.load_path();
--- a/src/gateway/shell/watcher.rs
+++ b/src/gateway/shell/watcher.rs
@@ -1,7 +1,15 @@
-//! Follows a kind of objects in the platform's store: lists it, then watches it from there.
+//! What to ask the platform's store next about one kind of objects, and how long to wait first.
 //!
-//! The state machine only says what to ask next; every failure is followed by a pause that grows,
-//! with jitter, so that no answer of the store can make a box ask without end.
+//! | state | next request | leaves it by |
+//! |---|---|---|
+//! | nothing known | list from the start | a page: listing, or listed if it was the last one |
+//! | listing | list after the last name | the last page: watching from the revision of the first page |
+//! | watching at a revision | watch from it | changes or none in time: watching at the revision that was answered |
+//!
+//! A failure, or a history that the store has forgotten, leads back to the first state after a pause with backoff, so that
+//! no answer of the store can make a box ask without end. A watch that was cut is followed by a list too: the
+//! changes may be gone meanwhile, and a watch from the old revision waited 3 s in vain (lundavik scale-2,
+//! docs/FINDINGS.md).
 
 use std::time::Duration;
 
@@ -34,7 +42,7 @@
     },
 }
 
-/// What came of a step.
+/// The store's answer to a request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum StoreAnswer {
     /// What was asked for.
@@ -59,7 +67,7 @@
 pub struct NextStep {
     /// What has changed, if anything has.
     pub change: Option<StoreChange>,
-    /// How long to wait before the next step.
+    /// How long to wait before the next request.
     pub pause: Duration,
 }
 
