--- a/src/gateway/dispatch/fleet.rs
+++ b/src/gateway/dispatch/fleet.rs
@@ -1,7 +1,10 @@
-//! What a box believes of the endpoints: who is listed, and how each of them stands.
+//! What a box believes of the endpoints.
 //!
-//! The list says who is there. What runs at an endpoint is in [`usage`]; who failed, who can't be
-//! reached and who may have been lost with its failure domain is in `losses`.
+//! The list, from the store or a peer, says who is there and who is leaving; an endpoint that it dropped stays gone for
+//! [`DEPARTED_FOR`], whatever that endpoint says itself. What runs at an endpoint is in [`usage`]; who is avoided,
+//! suspected or unreachable is in `losses`.
+//!
+//! Owns: all beliefs of endpoints; one is forgotten once it is neither listed nor in use.
 
 mod losses;
 pub mod usage;
@@ -16,9 +19,10 @@
 
 pub use usage::Usage;
 
-/// How long an endpoint that the list dropped is remembered as gone.
+/// How long an endpoint that the list dropped is remembered as gone: without that, one that was leaving came back by its
+/// own word (hunt-6df5-3, docs/FINDINGS.md). The figure is chosen, not measured.
 const DEPARTED_FOR: Duration = Duration::from_secs(60);
-/// How much of the estimate of failures the last request makes.
+/// How much of the share of failures the last answer makes. Chosen, not measured.
 const FAILURE_SHARE: f64 = 0.2;
 
 /// One endpoint.
@@ -32,7 +36,7 @@
     pub own: Usage,
     /// What other boxes said that they run there.
     others: Vec<PeerUsage>,
-    /// When any of this box's attempts last heard of it.
+    /// When this box last heard of it, by an attempt or a probe.
     pub heard: Micros,
     /// When a probe was sent that is not answered yet.
     pub probe_sent: Option<Micros>,
@@ -223,7 +227,7 @@
         }
     }
 
-    /// Takes in how a peer stands.
+    /// Takes in a peer's losses and what it runs.
     pub fn on_peer(&mut self, state: &BoxState, now: Micros) {
         self.on_peer_losses(&state.lost, now);
         self.on_peer_state(&state.from, &state.usage, now);
--- a/src/gateway/dispatch/fleet/losses.rs
+++ b/src/gateway/dispatch/fleet/losses.rs
@@ -132,7 +132,7 @@
         entry.is_some_and(|entry| entry.failures >= UNREACHABLE_AFTER)
     }
 
-    /// Notes a sending, which is the trial if its domain can't be reached.
+    /// Notes an attempt, which is the trial if its domain can't be reached.
     pub fn on_sending(&mut self, endpoint: &EndpointSpec, now: Micros) {
         let key = (endpoint.service.clone(), endpoint.domain.clone());
         if let Some(entry) = self.losses.unreachable.get_mut(&key)
--- a/src/gateway/dispatch/table.rs
+++ b/src/gateway/dispatch/table.rs
@@ -1,7 +1,8 @@
 //! The routing table: one version of the operators' configuration, checked and indexed.
 //!
-//! A table never changes once it is made. Each request keeps the table that it began with, and a
-//! box only ever moves on to a table with a greater version.
+//! A table never changes once it is made. Each request keeps the route that it began with, and a box only ever moves on to a
+//! table with a greater version ([`super::Dispatcher::handle`]), wherever it was read: from the store, or from a peer.
+//! A configuration with a fault is refused whole, and the table before it stays in force.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -25,7 +26,7 @@
 pub enum RouteKind {
     /// It may run any number of times.
     Repeatable,
-    /// It runs at most once for each sending.
+    /// It runs at most once for each try of its caller.
     Once,
     /// Its answer is a stream of events.
     Stream {
