--- a/src/gateway/dispatch.rs
+++ b/src/gateway/dispatch.rs
@@ -106,7 +106,7 @@
     store_watchers: StoreWatchers,
     endpoints_at: u64,
     next_gossip: Micros,
-    usage_news: PendingUsage,
+    pending_usage: PendingUsage,
     ends_at: Option<Micros>,
     is_cut_off: bool,
     actions: Vec<Action>,
@@ -132,7 +132,7 @@
             rng,
             endpoints_at: 0,
             next_gossip: now,
-            usage_news: PendingUsage::default(),
+            pending_usage: PendingUsage::default(),
             ends_at: None,
             is_cut_off: false,
             actions: Vec::new(),
@@ -193,7 +193,7 @@
             .store_watchers
             .first_decision()
             .unwrap_or(self.next_gossip);
-        let due = self.next_gossip.min(self.usage_news.due());
+        let due = self.next_gossip.min(self.pending_usage.due());
         let due = due.min(first_decision);
         if self.active() == 0 {
             return due;
@@ -274,7 +274,7 @@
         }
     }
 
-    /// Notes news of the list of endpoints, and tells peers soon.
+    /// Notes a change of the list of endpoints, and tells peers soon.
     fn note_endpoints(&mut self, at: u64) {
         if at > self.endpoints_at {
             self.endpoints_at = at;
--- a/src/gateway/dispatch/fleet/usage.rs
+++ b/src/gateway/dispatch/fleet/usage.rs
@@ -1,7 +1,7 @@
 //! What runs at endpoints: counted from this box's own attempts, and from what peers tell.
 //!
 //! A peer tells at once what it sent to an engine, and now and then all that it runs. What it told
-//! grows old: the prompts are read by and by, and after a while nothing of it counts any more.
+//! grows old: the prompts are prefilled meanwhile, and after the time of a stream nothing of it counts any more.
 
 use std::time::Duration;
 
--- a/src/gateway/dispatch/gossip.rs
+++ b/src/gateway/dispatch/gossip.rs
@@ -42,21 +42,21 @@
     /// Lets the boxes of the own failure domain know soon what runs at an engine, so that they choose others for their
     /// prompts.
     pub(super) fn report_usage_soon(&mut self, engine: &EndpointId) {
-        self.usage_news.engines.insert(engine.clone());
+        self.pending_usage.engines.insert(engine.clone());
         let due = self.now.after(USAGE_PAUSE);
-        self.usage_news.due.get_or_insert(due);
+        self.pending_usage.due.get_or_insert(due);
     }
 
     pub(super) fn gossip_usage_if_due(&mut self) {
-        if self.now < self.usage_news.due() {
+        if self.now < self.pending_usage.due() {
             return;
         }
-        let news = std::mem::take(&mut self.usage_news);
+        let pending = std::mem::take(&mut self.pending_usage);
         let to = self.peers.of_own_domain(self.now);
         if to.is_empty() {
             return;
         }
-        let usage = news
+        let usage = pending
             .engines
             .iter()
             .filter_map(|id| self.fleet.own_usage(id));
--- a/src/gateway/dispatch/replicas.rs
+++ b/src/gateway/dispatch/replicas.rs
@@ -29,7 +29,7 @@
 /// Time between two snapshots of an attempt at the same host. 1.5 s was tried: the same worth (0.484 for 0.487) and 34,100
 /// probes for 32,700 (commit 33ca23f).
 const SNAPSHOT_AGAIN: Duration = Duration::from_secs(3);
-/// Time until another copy is asked for after one could not be made.
+/// Time until another snapshot is asked for after one could not be taken. Chosen, not measured.
 const PAUSE_AFTER_FAILURE: Duration = Duration::from_millis(500);
 /// Time between two checks of an attempt's replicas. Chosen, not measured.
 const CHECK_EVERY: Duration = Duration::from_millis(100);
--- a/src/gateway/dispatch/table.rs
+++ b/src/gateway/dispatch/table.rs
@@ -106,11 +106,11 @@
 pub struct EngineSpec {
     /// The tokens that an engine's KV memory holds.
     pub kv_tokens: u32,
-    /// Whether an engine copies the memory of a run to another as it grows.
+    /// Whether an engine mirrors an attempt's KV memory to another as it grows.
     pub mirrors: bool,
-    /// Whether an engine copies the memory of a run when it is asked to.
+    /// Whether an engine takes a snapshot of an attempt's KV memory when it is asked to.
     pub snapshots: bool,
-    /// How long a copy is kept after its last part.
+    /// How long a replica is kept after its last part.
     pub replica_kept: Duration,
 }
 
--- a/src/gateway/shell/dialect.rs
+++ b/src/gateway/shell/dialect.rs
@@ -106,7 +106,7 @@
     /// Whether what answered this at the path of [`Self::load_path`] is a model engine.
     fn is_engine(&self, body: &[u8]) -> bool;
 
-    /// The path and body with which an engine is asked to copy the memory of a run.
+    /// The path and body with which an engine is asked for a snapshot of an attempt.
     fn snapshot_request(&self, run: &str, to: SocketAddr) -> (&'static str, String);
 
     /// Reads the name of the snapshot that was taken.
@@ -116,7 +116,7 @@
     /// Says why it can't be read.
     fn read_snapshot(&self, body: &[u8]) -> Result<SnapshotName, Unreadable>;
 
-    /// The path whose deletion drops a copy.
+    /// The path whose deletion drops a snapshot.
     fn drop_snapshot_path(&self, name: &SnapshotName) -> String;
 
     /// The path at which an engine tells which parts of prompts it keeps.
--- a/src/gateway/shell/shared.rs
+++ b/src/gateway/shell/shared.rs
@@ -245,12 +245,12 @@
     }
 
     /// Keeps entries of the list of endpoints for peers; returns the revision at which the list
-    /// changed last, if these entries are news.
+    /// changed last, if any of these entries has changed.
     #[must_use]
     pub fn keep_endpoints(&self, entries: &[Entry], is_whole: bool, at: u64) -> Option<u64> {
         let mut cache = self.write_cache();
-        let is_news = cache.take(entries, is_whole, at);
-        is_news.then_some(cache.endpoints_at)
+        let has_changed = cache.take(entries, is_whole, at);
+        has_changed.then_some(cache.endpoints_at)
     }
 
     /// What a peer asks for.
--- a/src/gateway/shell/snapshots.rs
+++ b/src/gateway/shell/snapshots.rs
@@ -20,7 +20,7 @@
 /// How long an engine may take to drop a snapshot. Chosen, not measured.
 const DROP_LIMIT: Duration = Duration::from_millis(300);
 
-/// Has an engine take a snapshot and reports what came of it.
+/// Has an engine take a snapshot, and reports its name or that there is none.
 pub async fn take(wanted: SnapshotRequest, shared: GatewayShared) {
     let asked = tokio::time::timeout(wanted.limit, ask(&wanted, &shared)).await;
     let event = Event::SnapshotTaken {
--- a/src/gateway/shell/store_cache.rs
+++ b/src/gateway/shell/store_cache.rs
@@ -27,7 +27,7 @@
 const CHANGES_KEPT: usize = 2_048;
 
 impl StoreCache {
-    /// Takes entries in; returns whether any of them is news.
+    /// Takes entries in; returns whether any of them has changed.
     pub(super) fn take(&mut self, entries: &[Entry], is_whole: bool, at: u64) -> bool {
         let mut changed: Vec<&str> = Vec::new();
         for entry in entries {
