--- a/src/keyed/node/suspicion.rs
+++ b/src/keyed/node/suspicion.rs
@@ -15,7 +15,7 @@
 //!
 //! Weighed and measured (docs/MEASUREMENTS.md, "Recovery"): a fixed time-out (silent stalls took 2.0 s at the median instead of
 //! 0.09) and two runs for each generation (2.1% of engine time extra instead of 0.5%). Both are still settings. The gateway
-//! probes a silent engine before it leaves it, [`crate::gateway::dispatch::suspicion`].
+//! probes a silent engine before it leaves it, `src/gateway/dispatch/suspicion.rs`.
 
 use std::time::Duration;
 
