--- a/src/gateway/dispatch.rs
+++ b/src/gateway/dispatch.rs
@@ -76,7 +76,7 @@
 
 use crate::schema::{BoxId, DomainId, Incarnation, Micros};
 use action::{Action, Command};
-use admission::HeldBack;
+use admission::QueuedRequest;
 use crashes::PendingCrashes;
 use duties::DutyClock;
 use duty::{DutyPolicy, Holder, UsageDuty};
@@ -160,7 +160,7 @@
     table: Option<Arc<RoutingTable>>,
     fleet: Fleet,
     requests: BTreeMap<RequestNumber, Request>,
-    held_back: Vec<HeldBack>,
+    queued: Vec<QueuedRequest>,
     budget: RetryBudget,
     peers: Peers,
     table_fetches: Fetches,
@@ -199,7 +199,7 @@
             table: None,
             fleet: Fleet::default(),
             requests: BTreeMap::new(),
-            held_back: Vec::new(),
+            queued: Vec::new(),
             budget: RetryBudget::new(cfg.retries),
             peers: Peers::new(
                 cfg.me.clone(),
@@ -413,7 +413,7 @@
     /// How many requests are served.
     #[must_use]
     pub fn active(&self) -> usize {
-        self.requests.len() + self.held_back.len()
+        self.requests.len() + self.queued.len()
     }
 
     /// How many boxes run, as far as this one knows and with it: in its failure domain, and in all.
@@ -454,7 +454,7 @@
         self.settle_crashes();
         self.tend_limits();
         self.check_requests();
-        self.refuse_held_back();
+        self.refuse_queued();
         self.check_reach();
         self.ask_identities();
         if let Some(is_watching) = {
--- a/src/gateway/dispatch/admission.rs
+++ b/src/gateway/dispatch/admission.rs
@@ -34,16 +34,16 @@
 /// How long a request is held back by a box that knows no routes or endpoints yet. Chosen between
 /// the time in which a box learns them from a peer (150 ms and an exchange) and the shortest
 /// latency objectives.
-pub(super) const LONGEST_HELD_BACK: Duration = Duration::from_millis(400);
+pub(super) const QUEUE_TIMEOUT: Duration = Duration::from_millis(400);
 /// How long after its start a box takes each stream for one of a caller that lost its box, though
 /// it names no event: whoever lost it before the first event has none to name, and the prompt has
 /// been read at some engine. Callers come back within some seconds.
 const CALLERS_RETURN_FOR: Duration = Duration::from_secs(5);
 /// How many requests such a box holds back: what arrives in 400 ms at some 1,200 a second.
-const MOST_HELD_BACK: usize = 500;
+const MAX_QUEUED_REQUESTS: usize = 500;
 /// A request that waits for this box to know routes and endpoints.
 #[derive(Debug)]
-pub(super) struct HeldBack {
+pub(super) struct QueuedRequest {
     /// Its number.
     pub number: RequestNumber,
     arrival: Arrival,
@@ -84,7 +84,7 @@
     pub(super) fn on_arrival(&mut self, number: RequestNumber, arrival: Arrival) {
         let table = self.table.clone().filter(|_| self.fleet.is_known());
         let Some(table) = table else {
-            self.hold_back(number, arrival);
+            self.queue_request(number, arrival);
             return;
         };
         let grace_left = self.ends_at.map(|at| at.since(self.now));
@@ -97,14 +97,14 @@
         }
     }
 
-    fn hold_back(&mut self, number: RequestNumber, arrival: Arrival) {
-        if self.held_back.len() >= MOST_HELD_BACK {
+    fn queue_request(&mut self, number: RequestNumber, arrival: Arrival) {
+        if self.queued.len() >= MAX_QUEUED_REQUESTS {
             let refusal = Refusal::new(RefusalReason::NoConfiguration);
             self.refuse_new(number, &arrival, refusal);
             return;
         }
-        let until = self.now.after(LONGEST_HELD_BACK);
-        self.held_back.push(HeldBack {
+        let until = self.now.after(QUEUE_TIMEOUT);
+        self.queued.push(QueuedRequest {
             number,
             arrival,
             until,
@@ -112,20 +112,20 @@
     }
 
     /// Decides about what was held back, once routes and endpoints are known.
-    pub(super) fn release_held_back(&mut self) {
+    pub(super) fn release_queued(&mut self) {
         if self.table.is_none() || !self.fleet.is_known() {
             return;
         }
-        for held in std::mem::take(&mut self.held_back) {
+        for held in std::mem::take(&mut self.queued) {
             self.on_arrival(held.number, held.arrival);
         }
     }
 
     /// Refuses what was held back for too long.
-    pub(super) fn refuse_held_back(&mut self) {
+    pub(super) fn refuse_queued(&mut self) {
         let now = self.now;
-        let is_over = |held: &mut HeldBack| now >= held.until;
-        let over: Vec<HeldBack> = self.held_back.extract_if(.., is_over).collect();
+        let is_over = |held: &mut QueuedRequest| now >= held.until;
+        let over: Vec<QueuedRequest> = self.queued.extract_if(.., is_over).collect();
         for held in over {
             let refusal = Refusal::new(RefusalReason::NoConfiguration);
             self.refuse_new(held.number, &held.arrival, refusal);
--- a/src/gateway/dispatch/intake.rs
+++ b/src/gateway/dispatch/intake.rs
@@ -23,7 +23,7 @@
         self.fleet.set_services(table.services().map(|s| &s.name));
         self.table = Some(table);
         self.gossip_table();
-        self.release_held_back();
+        self.release_queued();
     }
 
     pub(super) fn on_listed(
@@ -37,7 +37,7 @@
         let gone = gone.into_iter().map(|id| (id, EndpointState::Absent));
         self.record_endpoints(at, &gone.collect::<Vec<_>>());
         self.note_ended_lives();
-        self.release_held_back();
+        self.release_queued();
     }
 
     pub(super) fn on_changed(&mut self, changes: Vec<EndpointChange>, at: u64) {
--- a/src/gateway/dispatch/outcomes.rs
+++ b/src/gateway/dispatch/outcomes.rs
@@ -21,7 +21,7 @@
 
 impl Dispatcher {
     pub(super) fn on_caller_gone(&mut self, number: RequestNumber) {
-        self.held_back.retain(|held| held.number != number);
+        self.queued.retain(|held| held.number != number);
         let Some(request) = self.requests.remove(&number) else {
             return;
         };
--- a/src/gateway/dispatch/refusal.rs
+++ b/src/gateway/dispatch/refusal.rs
@@ -18,9 +18,9 @@
 use serde::{Deserialize, Serialize};
 
 /// When to come back to a box that has no configuration yet: it learns one within
-/// [`LONGEST_HELD_BACK`] as a rule.
+/// [`QUEUE_TIMEOUT`] as a rule.
 ///
-/// [`LONGEST_HELD_BACK`]: super::admission::LONGEST_HELD_BACK
+/// [`QUEUE_TIMEOUT`]: super::admission::QUEUE_TIMEOUT
 const RETRY_UNCONFIGURED: Duration = Duration::from_millis(300);
 /// When to come back after no endpoint could take a request: attempts of others end meanwhile.
 const RETRY_NO_ENDPOINT: Duration = Duration::from_millis(300);
