--- a/src/gateway/dispatch.rs
+++ b/src/gateway/dispatch.rs
@@ -278,9 +278,9 @@
     /// What the tasks of requests tell.
     fn handle_attempt(&mut self, event: Event) {
         match event {
-            Event::CallerGone(request) => self.on_caller_gone(request),
+            Event::CallerGone(request) => self.on_caller_disconnected(request),
             Event::Connected { request, attempt } => self.on_connected(request, attempt),
-            Event::StreamOpened { request, attempt } => self.on_opened(request, attempt),
+            Event::StreamOpened { request, attempt } => self.on_stream_opened(request, attempt),
             Event::LimitNamed {
                 request,
                 attempt,
@@ -351,7 +351,7 @@
                 endpoint,
                 instance,
                 born,
-            } => self.on_named(&endpoint, &instance, born),
+            } => self.on_identified(&endpoint, &instance, born),
             Event::Identified(spec) => self.fleet.succeed(spec, self.now),
             Event::Located { request, endpoint } => self.on_located(request, endpoint),
             Event::SnapshotTaken {
--- a/src/gateway/dispatch/attempts.rs
+++ b/src/gateway/dispatch/attempts.rs
@@ -223,7 +223,7 @@
         }
         request.attempts += 1;
         request.tried.push(active.endpoint.clone());
-        request.next_look = None;
+        request.next_placement = None;
         request.without_endpoint = None;
         request.active = Some(active);
     }
@@ -259,7 +259,7 @@
         }
         // Those that failed before may take it by then.
         request.tried.clear();
-        request.next_look = Some(now.after(LOOK_PAUSE));
+        request.next_placement = Some(now.after(LOOK_PAUSE));
     }
 
     /// Gives up a request for which no further attempt is made, for lack of an endpoint or of a
@@ -318,9 +318,9 @@
         endpoint: spec.incarnation(),
         started: now,
         is_connected: false,
-        heard: now,
+        last_seen: now,
         has_events: false,
-        begun: None,
+        first_event: None,
         sampled: Sampled::default(),
         domain: spec.domain.clone(),
         address: attempt.address,
--- a/src/gateway/dispatch/crashes.rs
+++ b/src/gateway/dispatch/crashes.rs
@@ -91,7 +91,7 @@
         if !may_be_crash(outcome) {
             return;
         }
-        let ran = active.begun.map(|(begun, _)| self.now.since(begun));
+        let ran = active.first_event.map(|(begun, _)| self.now.since(begun));
         let endpoint = self.fleet.living(&active.endpoint);
         let running = endpoint.map_or(0, |e| self.fleet.usage(e, self.now).running);
         let pending = Pending {
@@ -120,7 +120,7 @@
         } else {
             None
         };
-        request.goes_on_at = wait.map(|wait| self.now.after(wait));
+        request.retry_at = wait.map(|wait| self.now.after(wait));
         self.check_ended(active.endpoint.clone(), active.address, pending);
     }
 
@@ -308,7 +308,10 @@
         let Some(request) = self.requests.get(&number) else {
             return;
         };
-        let begun = request.active.as_ref().and_then(|active| active.begun);
+        let begun = request
+            .active
+            .as_ref()
+            .and_then(|active| active.first_event);
         if let Some((begun, _)) = begun {
             let ran = self.now.since(begun);
             let last_event = request.last_event.unwrap_or_default();
--- a/src/gateway/dispatch/gossip.rs
+++ b/src/gateway/dispatch/gossip.rs
@@ -112,7 +112,8 @@
     pub(super) fn on_peer_usage(&mut self, news: &UsageNews) {
         self.fleet.on_peer_usage(&news.from, &news.usage, self.now);
         self.fleet.on_peer_answers(&news.answers, self.now);
-        self.budget.on_told(&news.from, &news.totals, self.now);
+        self.budget
+            .on_peer_totals(&news.from, &news.totals, self.now);
         self.on_rollout_news(news);
     }
 
@@ -259,7 +260,8 @@
         self.store_watchers
             .on_contact(contact, &mut self.rng, self.now);
         self.fleet.on_peer(state, &self.cfg.domain, self.now);
-        self.budget.on_told(&state.from, &state.totals, self.now);
+        self.budget
+            .on_peer_totals(&state.from, &state.totals, self.now);
         self.store_watchers.on_told(&state.readers, self.now);
         self.on_told_rollouts(state);
         if state.table_version < self.table_version().0 {
--- a/src/gateway/dispatch/outcomes.rs
+++ b/src/gateway/dispatch/outcomes.rs
@@ -20,7 +20,7 @@
 use crate::schema::{Birth, EndpointId};
 
 impl Dispatcher {
-    pub(super) fn on_caller_gone(&mut self, number: RequestNumber) {
+    pub(super) fn on_caller_disconnected(&mut self, number: RequestNumber) {
         self.queued.retain(|held| held.number != number);
         let Some(request) = self.requests.remove(&number) else {
             return;
@@ -35,13 +35,13 @@
         }
     }
 
-    pub(super) fn on_opened(&mut self, number: RequestNumber, attempt: AttemptNumber) {
+    pub(super) fn on_stream_opened(&mut self, number: RequestNumber, attempt: AttemptNumber) {
         let now = self.now;
         let request = self.with_active(number, attempt);
         let Some(active) = request.and_then(|r| r.active.as_mut()) else {
             return;
         };
-        active.heard = now;
+        active.last_seen = now;
         active.is_connected = true;
         let endpoint = active.endpoint.clone();
         self.fleet.on_reached(&endpoint.id);
@@ -63,10 +63,10 @@
         };
         // The attempt has memory of its own now; replicas of earlier ones are behind it.
         request.replicas.clear();
-        let pause = now.since(request.last_passed);
+        let pause = now.since(request.last_forwarded);
         let is_resumed = request.has_begun;
         request.last_event = Some(last_event);
-        request.last_passed = now;
+        request.last_forwarded = now;
         request.has_begun = true;
         let id = request.arrival.id.clone();
         let age = now.since(request.arrived);
@@ -74,9 +74,9 @@
             return;
         };
         active.is_connected = true;
-        active.heard = now;
+        active.last_seen = now;
         let is_first = !std::mem::replace(&mut active.has_events, true);
-        active.begun.get_or_insert((now, last_event));
+        active.first_event.get_or_insert((now, last_event));
         let prefilled = std::mem::take(&mut active.prefill);
         let endpoint = active.endpoint.clone();
         if let Some(endpoint) = self.fleet.living_mut(&endpoint) {
@@ -129,7 +129,7 @@
             return;
         };
         if !matches!(outcome, Outcome::NotSent | Outcome::NotRun(_)) {
-            request.maybe_run += 1;
+            request.possible_runs += 1;
         }
         self.record_end(number, &active, outcome);
         self.sample_end(number, &active, outcome);
@@ -139,7 +139,7 @@
         if self.fleet.living(&active.endpoint).is_some() {
             self.believe(&active.endpoint.id, outcome);
         }
-        self.follow(number, &active, outcome);
+        self.continue_request(number, &active, outcome);
     }
 
     /// What the end of an attempt tells of its endpoint.
@@ -168,7 +168,7 @@
     }
 
     /// Does with the request what follows from the end of its attempt.
-    pub(super) fn follow(
+    pub(super) fn continue_request(
         &mut self,
         number: RequestNumber,
         active: &ActiveAttempt,
@@ -187,7 +187,7 @@
             AfterAttempt::Finish => self.finish(number, Command::Finish, true),
             AfterAttempt::TryAgain => self.start_next_attempt(number),
             // It is known soon whether it may run at all.
-            AfterAttempt::Retry if request.goes_on_at.is_some() => {}
+            AfterAttempt::Retry if request.retry_at.is_some() => {}
             AfterAttempt::Retry => self.retry(number),
             AfterAttempt::RetryOrDeliver if self.take_retry(number) => {
                 self.start_attempt_anywhere(number);
@@ -233,7 +233,7 @@
     }
 
     /// What has an endpoint's address said who it is.
-    pub(super) fn on_named(
+    pub(super) fn on_identified(
         &mut self,
         endpoint: &EndpointId,
         instance: &EndpointId,
--- a/src/gateway/dispatch/permits.rs
+++ b/src/gateway/dispatch/permits.rs
@@ -324,14 +324,14 @@
             return;
         };
         let waiting = self.requests.iter();
-        let waiting = waiting.filter(|(_, r)| r.next_look.is_some() && r.service == service);
+        let waiting = waiting.filter(|(_, r)| r.next_placement.is_some() && r.service == service);
         let waiting: Vec<RequestNumber> = waiting.map(|(number, _)| *number).collect();
         for number in waiting {
             if !self.fleet.limits.may_send(&endpoint.id, self.now) {
                 return;
             }
             if let Some(request) = self.requests.get_mut(&number) {
-                request.next_look = None;
+                request.next_placement = None;
             }
             self.start_attempt_anywhere(number);
         }
--- a/src/gateway/dispatch/rebirth.rs
+++ b/src/gateway/dispatch/rebirth.rs
@@ -64,7 +64,7 @@
             return false;
         };
         self.fleet.living(&active.endpoint).is_none()
-            && self.now.since(active.heard) >= longest_silence(active)
+            && self.now.since(active.last_seen) >= longest_silence(active)
     }
 
     /// Takes an attempt that goes on for one of its endpoint's present life.
--- a/src/gateway/dispatch/request.rs
+++ b/src/gateway/dispatch/request.rs
@@ -1,7 +1,7 @@
 //! What is known of a request while it is served.
 //!
 //! A request has at most one active attempt. Without one it waits: for an endpoint
-//! ([`Request::next_look`]), or for the answer to where its prompt is kept. It ends with a final
+//! ([`Request::next_placement`]), or for the answer to where its prompt is kept. It ends with a final
 //! answer, or when its caller leaves; the dispatcher then forgets it.
 
 use std::net::SocketAddr;
@@ -30,11 +30,11 @@
     /// Whether it is known to have gone out on a connection.
     pub is_connected: bool,
     /// When anything of its answer last came.
-    pub heard: Micros,
+    pub last_seen: Micros,
     /// Whether an event of it has come.
     pub has_events: bool,
     /// When its first event came, and which that was.
-    pub begun: Option<(Micros, u64)>,
+    pub first_event: Option<(Micros, u64)>,
     /// What of it was counted for a roll-out. Its first event is not where other prompts were before
     /// it: few endpoints of a version that is tried out have them more often than many others.
     pub sampled: Sampled,
@@ -85,7 +85,7 @@
     /// Whether its first attempt tries a version that is not known to be sound, once that is decided.
     pub is_canary: Option<bool>,
     /// Attempts that have ended and may have run.
-    pub maybe_run: u32,
+    pub possible_runs: u32,
     /// Endpoints that the next attempt avoids, since earlier ones went there.
     pub tried: Vec<EndpointIncarnation>,
     /// Replicas of earlier attempts that the next one can go on from, the best one first.
@@ -95,7 +95,7 @@
     /// The last event that the caller got, of this request or of the one before it.
     pub last_event: Option<u64>,
     /// When the caller got an event last; at first the arrival.
-    pub last_passed: Micros,
+    pub last_forwarded: Micros,
     /// Whether the caller got an event of this answer.
     pub has_begun: bool,
     /// Whether it is counted among the requests that began to run.
@@ -103,11 +103,11 @@
     /// The last fault that was met.
     pub fault: Option<Fault>,
     /// When to look for an endpoint again, if there was none.
-    pub next_look: Option<Micros>,
+    pub next_placement: Option<Micros>,
     /// Since when no endpoint was found.
     pub without_endpoint: Option<Micros>,
     /// When it goes on after the crash of its last endpoint: what follows from that is known then.
-    pub goes_on_at: Option<Micros>,
+    pub retry_at: Option<Micros>,
 }
 
 impl Request {
@@ -136,17 +136,17 @@
             active: None,
             attempts: 0,
             is_canary: None,
-            maybe_run: 0,
+            possible_runs: 0,
             tried: Vec::new(),
             replicas: Vec::new(),
             unasked: Vec::new(),
-            last_passed: now,
+            last_forwarded: now,
             has_begun: false,
             is_counted: false,
             fault: None,
-            next_look: None,
+            next_placement: None,
             without_endpoint: None,
-            goes_on_at: None,
+            retry_at: None,
         }
     }
 
@@ -157,17 +157,17 @@
 
     /// Whether another attempt is allowed after all ended ones may have run.
     pub fn may_run_again(&self) -> bool {
-        self.route.kind.may_repeat() && self.maybe_run < self.route.attempts
+        self.route.kind.may_repeat() && self.possible_runs < self.route.attempts
     }
 
     /// Whether another attempt is allowed after the active one, should that have run.
     pub fn may_run_after_active(&self) -> bool {
-        self.route.kind.may_repeat() && self.maybe_run + 1 < self.route.attempts
+        self.route.kind.may_repeat() && self.possible_runs + 1 < self.route.attempts
     }
 
     /// Whether an ended attempt may have run.
     pub fn has_run(&self) -> HasRun {
-        if self.maybe_run == 0 {
+        if self.possible_runs == 0 {
             HasRun::Never
         } else {
             HasRun::Maybe
--- a/src/gateway/dispatch/retry_budget.rs
+++ b/src/gateway/dispatch/retry_budget.rs
@@ -156,7 +156,7 @@
 
     /// Takes in what a peer of the failure domain has counted since it started, or what it says of
     /// the window if it is heard for the first time in its life.
-    pub fn on_told(&mut self, from: &BoxId, totals: &[ServiceTotals], now: Micros) {
+    pub fn on_peer_totals(&mut self, from: &BoxId, totals: &[ServiceTotals], now: Micros) {
         for told in totals {
             let counts = self.services.entry(told.service.clone()).or_default();
             counts.forget_old(self.policy.window, now);
--- a/src/gateway/dispatch/rollout_samples.rs
+++ b/src/gateway/dispatch/rollout_samples.rs
@@ -195,7 +195,7 @@
 
 /// How many events have come after a stream's first one, and in how many milliseconds.
 fn events_so_far(last: Option<u64>, active: &ActiveAttempt, now: Micros) -> Option<(u64, f64)> {
-    let (begun, first) = active.begun?;
+    let (begun, first) = active.first_event?;
     let events = last?.saturating_sub(first);
     Some((events, millis(now.since(begun))))
 }
--- a/src/gateway/dispatch/rollouts.rs
+++ b/src/gateway/dispatch/rollouts.rs
@@ -360,7 +360,7 @@
         let Some(active) = request.active.take() else {
             return;
         };
-        request.maybe_run += 1;
+        request.possible_runs += 1;
         self.command(number, Command::StopAttempt(active.attempt));
         self.record_end(number, &active, &Outcome::Stopped);
         self.uncount_attempt(&active);
--- a/src/gateway/dispatch/suspicion.rs
+++ b/src/gateway/dispatch/suspicion.rs
@@ -71,11 +71,11 @@
         };
         if now >= request.deadline {
             self.give_up_expired(number);
-        } else if has_come(request.next_look, now) {
-            request.next_look = None;
+        } else if has_come(request.next_placement, now) {
+            request.next_placement = None;
             self.start_attempt_anywhere(number);
-        } else if has_come(request.goes_on_at, now) {
-            request.goes_on_at = None;
+        } else if has_come(request.retry_at, now) {
+            request.retry_at = None;
             self.retry(number);
         } else if is_slow_call(request, now) || self.is_stranded(number) {
             self.move_away(number);
@@ -99,7 +99,10 @@
         } else {
             PAUSE_BEFORE_PROBE_IN_PREFILL
         };
-        let heard = active.heard.max(endpoint.heard).max(endpoint.last_probe);
+        let heard = active
+            .last_seen
+            .max(endpoint.heard)
+            .max(endpoint.last_probe);
         let is_silent = self.now.since(heard) >= limit && endpoint.probe_sent.is_none();
         is_silent.then(|| active.endpoint.id.clone())
     }
@@ -161,7 +164,7 @@
     fn move_all_from(&mut self, id: &EndpointId, unheard_since: Micros) {
         let at_endpoint = |request: &Request| {
             let active = request.active.as_ref();
-            active.is_some_and(|r| r.endpoint.id == *id && r.heard <= unheard_since)
+            active.is_some_and(|r| r.endpoint.id == *id && r.last_seen <= unheard_since)
         };
         let movable = |request: &Request| request.route.kind.may_repeat();
         let numbers: Vec<RequestNumber> = self
@@ -184,17 +187,17 @@
         let Some(active) = request.active.take() else {
             return;
         };
-        request.maybe_run += 1;
+        request.possible_runs += 1;
         let record = Record::Suspected {
             request: request.arrival.id.clone(),
             endpoint: active.endpoint.id.to_string(),
-            silent_ms: millis(now.since(active.heard)),
+            silent_ms: millis(now.since(active.last_seen)),
         };
         self.record(record);
         self.command(number, Command::StopAttempt(active.attempt));
         self.record_end(number, &active, &Outcome::Stopped);
         self.sample_end(number, &active, &Outcome::Stopped);
         self.uncount_attempt(&active);
-        self.follow(number, &active, &Outcome::Stopped);
+        self.continue_request(number, &active, &Outcome::Stopped);
     }
 }
