--- a/lab/src/gateway/crashes/servers.rs
+++ b/lab/src/gateway/crashes/servers.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use magpiemoor::gateway::dispatch::event::EndpointSpec;
-use magpiemoor::schema::{Birth, DomainId, EndpointId, EndpointIncarnation, Micros};
+use magpiemoor::schema::{DomainId, EndpointId, EndpointIncarnation, Micros, StartTime};
 
 use super::Case;
 
@@ -189,8 +189,8 @@
 }
 
 /// When a process started, by its own clock.
-fn birth(now: Micros) -> Birth {
-    Birth(1_700_000_000_000 + now.0 / 1_000)
+fn birth(now: Micros) -> StartTime {
+    StartTime(1_700_000_000_000 + now.0 / 1_000)
 }
 
 /// The id of a server in a life.
--- a/lab/src/gen.rs
+++ b/lab/src/gen.rs
@@ -13,7 +13,7 @@
 /// Types that are plain numbers and so can be copied, compared and hashed.
 const COPYABLE: [&str; 19] = [
     "Incarnation",
-    "Birth",
+    "StartTime",
     "Fingerprint",
     "RolloutPhase",
     "Epoch",
--- a/src/gateway/dispatch.rs
+++ b/src/gateway/dispatch.rs
@@ -17,7 +17,7 @@
 //! | what follows from a table or a list that was read | `intake` |
 //! | which requests crash their endpoints and are held back | [`quarantine`], made sure of: `crashes` |
 //! | how long streams take, which a stop must leave them | [`stream_time`] |
-//! | what follows when an endpoint starts again under its id | [`rebirth`], `fleet::incarnations` |
+//! | what follows when an endpoint starts again under its id | [`endpoint_restart`], `fleet::incarnations` |
 //! | how much goes to endpoints that name a limit, and from which box | [`permits`], [`fleet::limits`] |
 //! | where replicas of KV memory lie | [`replicas`] |
 //! | which engine keeps the prompt of a caller that comes back | [`prompt_search`] |
@@ -52,13 +52,13 @@
 mod admission;
 mod attempts;
 mod crashes;
+mod endpoint_restart;
 mod gossip;
 mod intake;
 mod outcomes;
 pub mod permits;
 mod prompt_search;
 mod readiness;
-mod rebirth;
 mod replicas;
 mod request;
 pub mod retry;
--- a/src/gateway/dispatch/action.rs
+++ b/src/gateway/dispatch/action.rs
@@ -13,7 +13,7 @@
 use crate::gateway::dispatch::rollout::status::StatusWrite;
 use crate::schema::{
     BeganNews, BoxState, CrashNews, DutyHolder, EndpointId, EndpointIncarnation, Fingerprint,
-    LimitNews, OrganisationId, StateRequest, UsageNews,
+    LimitUpdate, OrganisationId, StateRequest, UsageNews,
 };
 
 /// One attempt of a request at an endpoint.
@@ -184,7 +184,7 @@
         /// Their addresses.
         to: Vec<SocketAddr>,
         /// What is told, asked and granted.
-        news: LimitNews,
+        news: LimitUpdate,
     },
     /// Call the store for a duty.
     CallForDuty(StoreCall),
--- a/src/gateway/dispatch/attempts.rs
+++ b/src/gateway/dispatch/attempts.rs
@@ -218,7 +218,7 @@
         endpoint.own.prefill += active.prefill;
         endpoint.own.memory += active.memory;
         let host = active.mirror.as_ref();
-        if let Some(host) = host.and_then(|host| self.fleet.living_mut(host)) {
+        if let Some(host) = host.and_then(|host| self.fleet.get_incarnation_mut(host)) {
             host.own.memory += active.memory;
         }
         request.attempts += 1;
@@ -231,7 +231,7 @@
     /// Takes an attempt that has ended off the counts.
     pub(super) fn uncount_attempt(&mut self, active: &ActiveAttempt) {
         self.report_usage_soon(&active.endpoint.id);
-        if let Some(endpoint) = self.fleet.living_mut(&active.endpoint) {
+        if let Some(endpoint) = self.fleet.get_incarnation_mut(&active.endpoint) {
             endpoint.own.running = endpoint.own.running.saturating_sub(active.slots);
             endpoint.own.prefill = endpoint.own.prefill.saturating_sub(active.prefill);
             endpoint.own.memory = endpoint.own.memory.saturating_sub(active.memory);
@@ -240,7 +240,7 @@
             self.uncount_snapshot(snapshot);
         }
         let host = active.mirror.as_ref();
-        if let Some(host) = host.and_then(|host| self.fleet.living_mut(host)) {
+        if let Some(host) = host.and_then(|host| self.fleet.get_incarnation_mut(host)) {
             host.own.memory = host.own.memory.saturating_sub(active.memory);
         }
         self.fleet.forget_unused();
--- a/src/gateway/dispatch/crashes.rs
+++ b/src/gateway/dispatch/crashes.rs
@@ -92,7 +92,7 @@
             return;
         }
         let ran = active.first_event.map(|(begun, _)| self.now.since(begun));
-        let endpoint = self.fleet.living(&active.endpoint);
+        let endpoint = self.fleet.get_incarnation(&active.endpoint);
         let running = endpoint.map_or(0, |e| self.fleet.usage(e, self.now).running);
         let pending = Pending {
             request: request.fingerprint,
--- a/src/gateway/dispatch/rebirth.rs
+++ b/src/gateway/dispatch/endpoint_restart.rs
@@ -22,7 +22,7 @@
 use super::record::Record;
 use super::request::ActiveAttempt;
 use super::suspicion::{PAUSE_BEFORE_PROBE, PAUSE_BEFORE_PROBE_IN_PREFILL};
-use crate::schema::{Birth, EndpointId, Micros};
+use crate::schema::{EndpointId, Micros, StartTime};
 
 /// How long an attempt may be silent once its engine is in another life.
 fn longest_silence(active: &ActiveAttempt) -> Duration {
@@ -35,14 +35,14 @@
 
 impl Dispatcher {
     /// Takes in the birth that an endpoint told when it was asked.
-    pub(super) fn on_birth(&mut self, id: &EndpointId, born: Birth, asked: Micros) {
-        self.fleet.on_birth(id, born, asked, self.now);
-        self.note_ended_lives();
+    pub(super) fn on_start_time(&mut self, id: &EndpointId, born: StartTime, asked: Micros) {
+        self.fleet.on_start_time(id, born, asked, self.now);
+        self.record_ended_incarnations();
     }
 
     /// Records the lives of endpoints that have ended, and closes connections at rest there.
-    pub(super) fn note_ended_lives(&mut self) {
-        for ended in self.fleet.take_ended() {
+    pub(super) fn record_ended_incarnations(&mut self) {
+        for ended in self.fleet.take_ended_incarnations() {
             let Some(spec) = self.fleet.get(&ended.id).map(|e| e.spec.clone()) else {
                 continue;
             };
@@ -63,12 +63,16 @@
         let Some(active) = stream.and_then(|r| r.active.as_ref()) else {
             return false;
         };
-        self.fleet.living(&active.endpoint).is_none()
+        self.fleet.get_incarnation(&active.endpoint).is_none()
             && self.now.since(active.last_seen) >= longest_silence(active)
     }
 
     /// Takes an attempt that goes on for one of its endpoint's present life.
-    pub(super) fn adopt_living(&mut self, number: RequestNumber, attempt: AttemptNumber) {
+    pub(super) fn adopt_current_incarnation(
+        &mut self,
+        number: RequestNumber,
+        attempt: AttemptNumber,
+    ) {
         let request = self.requests.get_mut(&number);
         let active = request.and_then(|r| r.active.as_mut());
         let Some(active) = active.filter(|active| active.attempt == attempt) else {
@@ -77,7 +81,7 @@
         let Some(endpoint) = self.fleet.get_mut(&active.endpoint.id) else {
             return;
         };
-        if endpoint.is_life(&active.endpoint) {
+        if endpoint.is_incarnation(&active.endpoint) {
             return;
         }
         active.endpoint = endpoint.spec.incarnation();
--- a/src/gateway/dispatch/event.rs
+++ b/src/gateway/dispatch/event.rs
@@ -14,8 +14,8 @@
 use crate::gateway::dispatch::rollout::status::ObjectState;
 use crate::gateway::dispatch::table::RoutingTable;
 use crate::schema::{
-    BeganNews, Birth, BoxState, CrashNews, DomainId, DutyHolder, EndpointId, EndpointIncarnation,
-    Fingerprint, LimitNews, RequestAge, ServiceId, UsageNews, VersionId,
+    BeganNews, BoxState, CrashNews, DomainId, DutyHolder, EndpointId, EndpointIncarnation,
+    Fingerprint, LimitUpdate, RequestAge, ServiceId, StartTime, UsageNews, VersionId,
 };
 
 /// A request as this box numbers it.
@@ -89,7 +89,7 @@
     /// Its id; a restarted endpoint has another one, or the same with a later birth.
     pub id: EndpointId,
     /// When its process started, if it says so.
-    pub born: Option<Birth>,
+    pub born: Option<StartTime>,
     /// The store's revision at which its entry changed last, 0 where that is not known.
     pub revision: u64,
     /// The service that it belongs to.
@@ -254,7 +254,7 @@
         /// Whether it answered in time.
         is_answered: bool,
         /// When its process started, if the answer says so.
-        born: Option<Birth>,
+        born: Option<StartTime>,
     },
     /// An endpoint was checked whose connection broke.
     Checked {
@@ -326,7 +326,7 @@
         news: CrashNews,
     },
     /// Another box told of endpoints that name limits.
-    PeerLimits(LimitNews),
+    PeerLimits(LimitUpdate),
     /// A fetch from another box has ended, with an answer or without.
     Fetched {
         /// What it was asked for.
@@ -352,7 +352,7 @@
         /// Who has it now.
         instance: EndpointId,
         /// When that one's process started, if it says so.
-        born: Option<Birth>,
+        born: Option<StartTime>,
     },
     /// An endpoint that took over an address turned out to be a model engine.
     Identified(EndpointSpec),
--- a/src/gateway/dispatch/fleet.rs
+++ b/src/gateway/dispatch/fleet.rs
@@ -7,11 +7,11 @@
 //!
 //! Owns: all beliefs of endpoints; one is forgotten once it is neither listed nor in use.
 
+pub mod health;
 mod incarnations;
 pub mod limits;
 mod list;
 mod losses;
-pub mod standing;
 pub mod usage;
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -20,9 +20,9 @@
 use crate::schema::{
     BoxState, DomainId, EndpointAnswers, EndpointId, EndpointIncarnation, Micros, ServiceId,
 };
+use health::{Answers, EndpointHealth, Failing};
 use limits::Limits;
 use losses::Losses;
-use standing::{Answers, Failing, Standing};
 use usage::{PeerUsage, ToldUsage};
 
 pub use usage::Usage;
@@ -49,7 +49,7 @@
     /// When it was last probed.
     pub last_probe: Micros,
     /// How well it has answered lately.
-    pub standing: Standing,
+    pub health: EndpointHealth,
     /// When this box first knew of this life.
     first_seen: Micros,
     /// Which of the lives that this box came to know it is.
@@ -73,7 +73,7 @@
             heard: Micros::ZERO,
             probe_sent: None,
             last_probe: Micros::ZERO,
-            standing: Standing::default(),
+            health: EndpointHealth::default(),
             first_seen: now,
             number: 0,
             unsure_since: None,
@@ -97,7 +97,7 @@
 
     /// Whether an account of a life can be of the present one.
     #[must_use]
-    pub fn is_life(&self, life: &EndpointIncarnation) -> bool {
+    pub fn is_incarnation(&self, life: &EndpointIncarnation) -> bool {
         self.spec.incarnation().may_be(life)
     }
 
@@ -168,14 +168,16 @@
 
     /// Finds an endpoint if a life of it goes on.
     #[must_use]
-    pub fn living(&self, life: &EndpointIncarnation) -> Option<&Endpoint> {
-        self.endpoints.get(&life.id).filter(|e| e.is_life(life))
+    pub fn get_incarnation(&self, life: &EndpointIncarnation) -> Option<&Endpoint> {
+        self.endpoints
+            .get(&life.id)
+            .filter(|e| e.is_incarnation(life))
     }
 
     /// Finds an endpoint to change it, if a life of it goes on.
-    pub fn living_mut(&mut self, life: &EndpointIncarnation) -> Option<&mut Endpoint> {
+    pub fn get_incarnation_mut(&mut self, life: &EndpointIncarnation) -> Option<&mut Endpoint> {
         let found = self.endpoints.get_mut(&life.id);
-        found.filter(|e| e.is_life(life))
+        found.filter(|e| e.is_incarnation(life))
     }
 
     /// Iterates over the endpoints of a service.
@@ -217,7 +219,7 @@
             errors: count(AnswerKind::Error),
             broken: count(AnswerKind::Broken),
         };
-        endpoint.standing.add((&answers).into(), now);
+        endpoint.health.add((&answers).into(), now);
         match self.untold.get_mut(id) {
             Some(untold) => {
                 untold.served += answers.served;
@@ -238,8 +240,8 @@
     /// Takes in how attempts of a peer ended.
     pub fn on_peer_answers(&mut self, answers: &[EndpointAnswers], now: Micros) {
         for told in answers {
-            if let Some(endpoint) = self.living_mut(&told.endpoint) {
-                endpoint.standing.add(told.into(), now);
+            if let Some(endpoint) = self.get_incarnation_mut(&told.endpoint) {
+                endpoint.health.add(told.into(), now);
             }
         }
     }
@@ -247,7 +249,7 @@
     /// The least shares of attempts that fail at an endpoint of a service.
     #[must_use]
     pub fn least_failing(&self, service: &ServiceId, now: Micros) -> Failing {
-        let shares = self.of_service(service).map(|e| e.standing.failing(now));
+        let shares = self.of_service(service).map(|e| e.health.failing(now));
         shares.fold(Failing::ALL, Failing::min)
     }
 
--- a/src/gateway/dispatch/fleet/standing.rs
+++ b/src/gateway/dispatch/fleet/health.rs
@@ -60,7 +60,7 @@
 
 /// Answers of an endpoint, weighted by their age.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Standing {
+pub struct EndpointHealth {
     answers: Answers,
     at: Micros,
 }
@@ -98,7 +98,7 @@
     }
 }
 
-impl Standing {
+impl EndpointHealth {
     /// Takes in answers.
     pub fn add(&mut self, answers: Answers, now: Micros) {
         self.answers = self.weighted(now).and(answers);
--- a/src/gateway/dispatch/fleet/incarnations.rs
+++ b/src/gateway/dispatch/fleet/incarnations.rs
@@ -21,11 +21,11 @@
 
 use super::{Endpoint, Fleet};
 use crate::gateway::dispatch::event::EndpointSpec;
-use crate::schema::{Birth, EndpointId, EndpointIncarnation, Micros};
+use crate::schema::{EndpointId, EndpointIncarnation, Micros, StartTime};
 
 impl Fleet {
     /// Begins another life of an endpoint: nothing that was believed of the one before is left.
-    pub(super) fn begin_life(&mut self, spec: EndpointSpec, now: Micros) {
+    pub(super) fn begin_incarnation(&mut self, spec: EndpointSpec, now: Micros) {
         let Some(endpoint) = self.endpoints.get_mut(&spec.id) else {
             return;
         };
@@ -39,13 +39,13 @@
             ..Endpoint::new(spec, now)
         };
         self.losses.forget(&ended.id);
-        self.limits.keep_life(&endpoint.spec.incarnation());
+        self.limits.keep_incarnation(&endpoint.spec.incarnation());
         self.untold.remove(&ended.id);
         self.ended.push(ended);
     }
 
     /// Takes in the birth that an endpoint told when it was asked.
-    pub fn on_birth(&mut self, id: &EndpointId, born: Birth, asked: Micros, now: Micros) {
+    pub fn on_start_time(&mut self, id: &EndpointId, born: StartTime, asked: Micros, now: Micros) {
         let Some(endpoint) = self.endpoints.get_mut(id) else {
             return;
         };
@@ -59,13 +59,13 @@
                     born: Some(born),
                     ..endpoint.spec.clone()
                 };
-                self.begin_life(spec, now);
+                self.begin_incarnation(spec, now);
             }
         }
     }
 
     /// The lives that have ended since this was asked last.
-    pub fn take_ended(&mut self) -> Vec<EndpointIncarnation> {
+    pub fn take_ended_incarnations(&mut self) -> Vec<EndpointIncarnation> {
         std::mem::take(&mut self.ended)
     }
 }
--- a/src/gateway/dispatch/fleet/limits.rs
+++ b/src/gateway/dispatch/fleet/limits.rs
@@ -13,7 +13,7 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-use crate::schema::{EndpointId, EndpointIncarnation, LimitNote, Micros};
+use crate::schema::{EndpointId, EndpointIncarnation, LimitReport, Micros};
 
 /// How long a permit can be used: long enough for the next request of a busy box, short enough that
 /// permits of one second don't add up to many of the next.
@@ -169,7 +169,7 @@
     }
 
     /// Takes in what an answer to another box named; returns whether that is news.
-    pub fn on_told(&mut self, note: &LimitNote, now: Micros) -> bool {
+    pub fn on_told(&mut self, note: &LimitReport, now: Micros) -> bool {
         let rate = note.milli_per_second.map(RequestRate::from_milli);
         let heard = now.before(Duration::from_millis(note.age_ms.into()));
         let Some(known) = self.named.get_mut(&note.endpoint.id) else {
@@ -265,16 +265,16 @@
 
     /// What is known of an endpoint, to be told.
     #[must_use]
-    pub fn note(&self, id: &EndpointId, now: Micros) -> Option<LimitNote> {
+    pub fn note(&self, id: &EndpointId, now: Micros) -> Option<LimitReport> {
         self.named.get(id).map(|limit| limit_note(limit, now))
     }
 
     /// What answers to this box named lately, to be told: the newest first.
     #[must_use]
-    pub fn notes(&self, now: Micros) -> Vec<LimitNote> {
+    pub fn notes(&self, now: Micros) -> Vec<LimitReport> {
         let lately = self.named.values();
         let lately = lately.filter(|l| l.is_first_hand && now.since(l.heard) < NOTED_FOR);
-        let mut notes: Vec<LimitNote> = lately.map(|limit| limit_note(limit, now)).collect();
+        let mut notes: Vec<LimitReport> = lately.map(|limit| limit_note(limit, now)).collect();
         notes.sort_by_key(|note| note.age_ms);
         notes.truncate(MOST_NOTES);
         notes
@@ -286,7 +286,7 @@
     }
 
     /// Forgets what other lives of an endpoint named.
-    pub(super) fn keep_life(&mut self, life: &EndpointIncarnation) {
+    pub(super) fn keep_incarnation(&mut self, life: &EndpointIncarnation) {
         let limit = self.named.get(&life.id);
         if limit.is_some_and(|limit| !limit.life.may_be(life)) {
             self.named.remove(&life.id);
@@ -299,9 +299,9 @@
     }
 }
 
-fn limit_note(limit: &Limit, now: Micros) -> LimitNote {
+fn limit_note(limit: &Limit, now: Micros) -> LimitReport {
     let age = now.since(limit.heard).as_millis();
-    LimitNote {
+    LimitReport {
         endpoint: limit.life.clone(),
         milli_per_second: limit.rate.map(RequestRate::milli),
         age_ms: u32::try_from(age).unwrap_or(u32::MAX),
--- a/src/gateway/dispatch/fleet/list.rs
+++ b/src/gateway/dispatch/fleet/list.rs
@@ -126,7 +126,7 @@
             .zip(told)
             .is_some_and(|(before, told)| before != told)
         {
-            self.begin_life(spec, now);
+            self.begin_incarnation(spec, now);
         } else {
             known.spec = EndpointSpec {
                 born: told.or(before).or(spec.born),
--- a/src/gateway/dispatch/fleet/losses.rs
+++ b/src/gateway/dispatch/fleet/losses.rs
@@ -308,7 +308,7 @@
                 .recent
                 .iter()
                 .any(|loss| loss.endpoint.id == *id);
-            let Some(endpoint) = self.living_mut(life) else {
+            let Some(endpoint) = self.get_incarnation_mut(life) else {
                 continue;
             };
             if is_known || now.since(endpoint.heard) < HEARD_LATELY {
--- a/src/gateway/dispatch/fleet/usage.rs
+++ b/src/gateway/dispatch/fleet/usage.rs
@@ -127,7 +127,7 @@
 
     fn on_told(&mut self, from: &Teller, usage: &[EndpointUsage], now: Micros) {
         for told in usage {
-            let Some(endpoint) = self.living_mut(&told.endpoint) else {
+            let Some(endpoint) = self.get_incarnation_mut(&told.endpoint) else {
                 continue;
             };
             endpoint
--- a/src/gateway/dispatch/gossip.rs
+++ b/src/gateway/dispatch/gossip.rs
@@ -129,7 +129,7 @@
         self.next_gossip = self.now.after(self.gossip_pause());
         let to = self.peers.choose(&mut self.rng, self.now);
         if !to.is_empty() {
-            self.check_dealers();
+            self.check_allocators();
             self.tell_limits(to.clone());
             self.gossip_state(to);
         }
--- a/src/gateway/dispatch/intake.rs
+++ b/src/gateway/dispatch/intake.rs
@@ -36,7 +36,7 @@
         let gone = self.fleet.replace(specs, unreadable, self.now);
         let gone = gone.into_iter().map(|id| (id, EndpointState::Absent));
         self.record_endpoints(at, &gone.collect::<Vec<_>>());
-        self.note_ended_lives();
+        self.record_ended_incarnations();
         self.release_queued();
     }
 
@@ -45,7 +45,7 @@
         let states = changes.iter().map(EndpointState::of);
         self.record_endpoints(at, &states.collect::<Vec<_>>());
         self.fleet.change_all(changes, self.now);
-        self.note_ended_lives();
+        self.record_ended_incarnations();
     }
 
     /// Records changes of the list: one by one if this box watches the store, else their number.
--- a/src/gateway/dispatch/outcomes.rs
+++ b/src/gateway/dispatch/outcomes.rs
@@ -17,7 +17,7 @@
 use super::request::{ActiveAttempt, Request, millis};
 use super::retry::{AfterAttempt, after_attempt};
 use super::retry_budget::Sharers;
-use crate::schema::{Birth, EndpointId};
+use crate::schema::{EndpointId, StartTime};
 
 impl Dispatcher {
     pub(super) fn on_caller_disconnected(&mut self, number: RequestNumber) {
@@ -45,7 +45,7 @@
         active.is_connected = true;
         let endpoint = active.endpoint.clone();
         self.fleet.on_reached(&endpoint.id);
-        if let Some(endpoint) = self.fleet.living_mut(&endpoint) {
+        if let Some(endpoint) = self.fleet.get_incarnation_mut(&endpoint) {
             endpoint.heard = now;
         }
     }
@@ -57,7 +57,7 @@
         last_event: u64,
     ) {
         let now = self.now;
-        self.adopt_living(number, attempt);
+        self.adopt_current_incarnation(number, attempt);
         let Some(request) = self.with_active(number, attempt) else {
             return;
         };
@@ -79,7 +79,7 @@
         active.first_event.get_or_insert((now, last_event));
         let prefilled = std::mem::take(&mut active.prefill);
         let endpoint = active.endpoint.clone();
-        if let Some(endpoint) = self.fleet.living_mut(&endpoint) {
+        if let Some(endpoint) = self.fleet.get_incarnation_mut(&endpoint) {
             endpoint.heard = now;
             endpoint.own.prefill = endpoint.own.prefill.saturating_sub(prefilled);
         }
@@ -136,7 +136,7 @@
         self.count_ended(number, outcome);
         self.suspect_crash(number, &active, outcome);
         self.uncount_attempt(&active);
-        if self.fleet.living(&active.endpoint).is_some() {
+        if self.fleet.get_incarnation(&active.endpoint).is_some() {
             self.believe(&active.endpoint.id, outcome);
         }
         self.continue_request(number, &active, outcome);
@@ -237,12 +237,12 @@
         &mut self,
         endpoint: &EndpointId,
         instance: &EndpointId,
-        born: Option<Birth>,
+        born: Option<StartTime>,
     ) {
         if endpoint == instance {
             let asked = self.fleet.get(endpoint).map(Endpoint::identity_asked);
             if let Some((asked, born)) = asked.zip(born) {
-                self.on_birth(endpoint, born, asked);
+                self.on_start_time(endpoint, born, asked);
             }
             self.fleet.on_success(endpoint, self.now);
             return;
--- a/src/gateway/dispatch/permits.rs
+++ b/src/gateway/dispatch/permits.rs
@@ -9,8 +9,8 @@
 //! Owns: the dealers of this box, and when it told and asked last. Weighed in docs/design/limits.md: an even share
 //! for each box.
 
-pub mod dealer;
-mod dealing;
+mod allocation;
+pub mod allocator;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -23,10 +23,10 @@
 use super::fleet::limits::RequestRate;
 use super::record::Record;
 use crate::schema::{
-    EndpointId, EndpointIncarnation, LimitNews, LimitNote, Micros, PermitAsk, PermitGrant,
+    EndpointId, EndpointIncarnation, LimitReport, LimitUpdate, Micros, PermitGrant, PermitRequest,
 };
-use dealer::{Asker, Dealer};
-use dealing::{DealtBy, HANDOVER};
+use allocation::{HANDOVER, LimitOwner};
+use allocator::{PermitAllocator, PermitRequester};
 
 /// How long an ask for permits of one endpoint may go unanswered before it is repeated.
 const ASK_PAUSE: Duration = Duration::from_millis(40);
@@ -37,7 +37,7 @@
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct PermitCounts {
     /// Dealt, to this box or others.
-    pub dealt: u64,
+    pub allocated: u64,
     /// Used for a request.
     pub used: u64,
     /// Wanted when there was none: the request went elsewhere, or waited.
@@ -47,7 +47,7 @@
 /// What a box has to do with permits.
 #[derive(Debug, Default)]
 pub(super) struct Permits {
-    dealers: BTreeMap<EndpointId, Dealer>,
+    dealers: BTreeMap<EndpointId, PermitAllocator>,
     /// What is wanted of each endpoint and was not asked for, and asks that are not answered.
     asked: BTreeMap<EndpointId, Asked>,
     /// Until when this box stood still last.
@@ -95,7 +95,9 @@
             return;
         };
         let now = self.now;
-        if self.fleet.living(&life).is_some() && self.fleet.limits.on_answer(&life, limit, now) {
+        if self.fleet.get_incarnation(&life).is_some()
+            && self.fleet.limits.on_answer(&life, limit, now)
+        {
             self.on_limit_changed(&life.id);
             self.permits.untold.insert(life.id);
             let due = now.max(self.permits.told_at.after(TELL_PAUSE));
@@ -108,7 +110,7 @@
     fn on_limit_changed(&mut self, endpoint: &EndpointId) {
         let limit = self.fleet.limits.of(endpoint);
         if limit.is_some() {
-            self.take_up_dealing(endpoint);
+            self.start_allocating(endpoint);
         }
         self.record(Record::Limited {
             endpoint: endpoint.to_string(),
@@ -138,19 +140,19 @@
         self.tell_notes(to, notes);
     }
 
-    fn tell_notes(&mut self, to: Vec<SocketAddr>, notes: Vec<LimitNote>) {
+    fn tell_notes(&mut self, to: Vec<SocketAddr>, notes: Vec<LimitReport>) {
         if notes.is_empty() || to.is_empty() {
             return;
         }
-        let news = LimitNews {
+        let news = LimitUpdate {
             notes,
             ..self.no_limit_news()
         };
         self.actions.push(Action::TellLimits { to, news });
     }
 
-    fn no_limit_news(&self) -> LimitNews {
-        LimitNews {
+    fn no_limit_news(&self) -> LimitUpdate {
+        LimitUpdate {
             from: self.cfg.me.clone(),
             reply_to: self.cfg.address.to_string(),
             is_passed_on: false,
@@ -161,7 +163,7 @@
     }
 
     /// Takes in what another box tells of limits and permits.
-    pub(super) fn on_peer_limits(&mut self, news: &LimitNews) {
+    pub(super) fn on_peer_limits(&mut self, news: &LimitUpdate) {
         for note in &news.notes {
             self.on_limit_note(note);
         }
@@ -180,33 +182,33 @@
         }
     }
 
-    fn on_limit_note(&mut self, note: &LimitNote) {
-        let is_living = self.fleet.living(&note.endpoint).is_some();
+    fn on_limit_note(&mut self, note: &LimitReport) {
+        let is_living = self.fleet.get_incarnation(&note.endpoint).is_some();
         if is_living && self.fleet.limits.on_told(note, self.now) {
             self.on_limit_changed(&note.endpoint.id);
         }
     }
 
     /// A box asks for permits: this one deals them, or passes the ask on.
-    fn on_permit_ask(&mut self, ask: &PermitAsk, news: &LimitNews) {
+    fn on_permit_ask(&mut self, ask: &PermitRequest, news: &LimitUpdate) {
         // An address that can't be read gets nothing; the next ask may hold a better one.
         let Ok(reply_to) = news.reply_to.parse() else {
             return;
         };
-        if self.fleet.living(&ask.endpoint).is_none() {
+        if self.fleet.get_incarnation(&ask.endpoint).is_none() {
             return;
         }
         let id = &ask.endpoint.id;
-        match self.dealt_by(id) {
-            Some(DealtBy::Me) if self.fleet.limits.of(id).is_none() => {
+        match self.limit_owner(id) {
+            Some(LimitOwner::ThisBox) if self.fleet.limits.of(id).is_none() => {
                 self.tell_no_limit(id, reply_to);
             }
-            Some(DealtBy::Me) => {
+            Some(LimitOwner::ThisBox) => {
                 let wanted = ask.wanted;
-                self.ask_own_dealer(id, Asker { reply_to, wanted });
+                self.ask_own_dealer(id, PermitRequester { reply_to, wanted });
             }
-            Some(DealtBy::Near(dealer)) if !news.is_passed_on => {
-                let news = LimitNews {
+            Some(LimitOwner::Local(dealer)) if !news.is_passed_on => {
+                let news = LimitUpdate {
                     is_passed_on: true,
                     grants: Vec::new(),
                     ..news.clone()
@@ -222,7 +224,7 @@
     fn tell_no_limit(&mut self, id: &EndpointId, to: SocketAddr) {
         let note = self.fleet.limits.note(id, self.now);
         if let Some(note) = note {
-            let news = LimitNews {
+            let news = LimitUpdate {
                 notes: vec![note],
                 ..self.no_limit_news()
             };
@@ -234,18 +236,18 @@
     /// Asks for a permit for an endpoint that a request would go to.
     pub(super) fn want_permit(&mut self, id: &EndpointId) {
         self.permits.counts.wanted += 1;
-        match self.dealt_by(id) {
-            Some(DealtBy::Me) => {
+        match self.limit_owner(id) {
+            Some(LimitOwner::ThisBox) => {
                 let reply_to = self.cfg.address;
                 self.ask_own_dealer(
                     id,
-                    Asker {
+                    PermitRequester {
                         reply_to,
                         wanted: 1,
                     },
                 );
             }
-            Some(DealtBy::Near(to) | DealtBy::Far(to)) => self.ask_for_permits(id, to),
+            Some(LimitOwner::Local(to) | LimitOwner::Remote(to)) => self.ask_for_permits(id, to),
             None => {}
         }
     }
@@ -262,11 +264,11 @@
         let Some(note) = self.fleet.limits.note(id, now) else {
             return;
         };
-        let ask = PermitAsk {
+        let ask = PermitRequest {
             endpoint: note.endpoint.clone(),
             wanted,
         };
-        let news = LimitNews {
+        let news = LimitUpdate {
             notes: vec![note],
             asks: vec![ask],
             ..self.no_limit_news()
@@ -276,8 +278,8 @@
     }
 
     /// Notes an ask at this box, which deals the permits, and deals what has accrued.
-    fn ask_own_dealer(&mut self, id: &EndpointId, asker: Asker) {
-        self.take_up_dealing(id);
+    fn ask_own_dealer(&mut self, id: &EndpointId, asker: PermitRequester) {
+        self.start_allocating(id);
         if let Some(dealer) = self.permits.dealers.get_mut(id) {
             dealer.on_ask(asker, self.now);
         }
@@ -294,13 +296,13 @@
         let Some(dealer) = self.permits.dealers.get_mut(id) else {
             return;
         };
-        for dealt in dealer.deal(rate, self.now) {
-            self.permits.counts.dealt += u64::from(dealt.wanted);
+        for dealt in dealer.allocate(rate, self.now) {
+            self.permits.counts.allocated += u64::from(dealt.wanted);
             self.grant(&endpoint, dealt);
         }
     }
 
-    fn grant(&mut self, endpoint: &EndpointIncarnation, dealt: Asker) {
+    fn grant(&mut self, endpoint: &EndpointIncarnation, dealt: PermitRequester) {
         if dealt.reply_to == self.cfg.address {
             let now = self.now;
             self.fleet.limits.on_granted(endpoint, dealt.wanted, now);
@@ -310,7 +312,7 @@
             endpoint: endpoint.clone(),
             permits: dealt.wanted,
         };
-        let news = LimitNews {
+        let news = LimitUpdate {
             grants: vec![grant],
             ..self.no_limit_news()
         };
@@ -320,7 +322,11 @@
 
     /// Has requests look for an endpoint again that wait for one of this service.
     fn wake_waiting(&mut self, endpoint: &EndpointIncarnation) {
-        let Some(service) = self.fleet.living(endpoint).map(|e| e.spec.service.clone()) else {
+        let Some(service) = self
+            .fleet
+            .get_incarnation(endpoint)
+            .map(|e| e.spec.service.clone())
+        else {
             return;
         };
         let waiting = self.requests.iter();
--- a/src/gateway/dispatch/permits/dealing.rs
+++ b/src/gateway/dispatch/permits/allocation.rs
@@ -11,7 +11,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use super::dealer::Dealer;
+use super::allocator::PermitAllocator;
 use crate::gateway::dispatch::Dispatcher;
 use crate::gateway::dispatch::fleet::limits::RequestRate;
 use crate::rendezvous;
@@ -30,13 +30,13 @@
 const LEFT_BESIDE: f64 = 2.0;
 /// Who deals the permits for an endpoint.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(in crate::gateway::dispatch) enum DealtBy {
+pub(in crate::gateway::dispatch) enum LimitOwner {
     /// This box.
-    Me,
+    ThisBox,
     /// Another box of this failure domain.
-    Near(SocketAddr),
+    Local(SocketAddr),
     /// A box of another failure domain, known to any box there, such as this one.
-    Far(SocketAddr),
+    Remote(SocketAddr),
 }
 
 /// How long nothing is dealt for an endpoint that has just named a limit, to which so many requests came
@@ -53,14 +53,14 @@
 impl Dispatcher {
     /// Takes up the dealing that is this box's, and ceases where an endpoint names no limit any more or
     /// another box deals.
-    pub(in crate::gateway::dispatch) fn check_dealers(&mut self) {
+    pub(in crate::gateway::dispatch) fn check_allocators(&mut self) {
         for id in self.fleet.limits.in_force() {
-            self.take_up_dealing(&id);
+            self.start_allocating(&id);
         }
         let dealers: Vec<EndpointId> = self.permits.dealers.keys().cloned().collect();
         for id in dealers {
             let is_limited = self.fleet.limits.of(&id).is_some();
-            if !is_limited || self.dealt_by(&id) != Some(DealtBy::Me) {
+            if !is_limited || self.limit_owner(&id) != Some(LimitOwner::ThisBox) {
                 self.permits.dealers.remove(&id);
             }
         }
@@ -69,12 +69,15 @@
     }
 
     /// Which box deals the permits for an endpoint, if any can be reached.
-    pub(in crate::gateway::dispatch) fn dealt_by(&mut self, id: &EndpointId) -> Option<DealtBy> {
+    pub(in crate::gateway::dispatch) fn limit_owner(
+        &mut self,
+        id: &EndpointId,
+    ) -> Option<LimitOwner> {
         let domain = &self.fleet.get(id)?.spec.domain;
         let home = self.dealing_domain(domain, id);
         if home != self.cfg.domain {
             let far = self.peers.some_in(&home, &mut self.rng, self.now);
-            return far.map(DealtBy::Far);
+            return far.map(LimitOwner::Remote);
         }
         let item = rendezvous::item(id);
         let score = |address: &SocketAddr| rendezvous::score(&address.to_string(), item);
@@ -82,9 +85,9 @@
         let running = self.peers.roster().running(self.now);
         let first = running.chain([me]).max_by_key(score)?;
         Some(if first == me {
-            DealtBy::Me
+            LimitOwner::ThisBox
         } else {
-            DealtBy::Near(first)
+            LimitOwner::Local(first)
         })
     }
 
@@ -116,17 +119,19 @@
         }
         let came = self.fleet.get(id).map_or(0.0, |e| {
             let running = self.fleet.usage(e, now).running;
-            e.standing.rate(now) + f64::from(running)
+            e.health.rate(now) + f64::from(running)
         });
         now.after(backlog_pause(rate, came))
     }
 
     /// Takes the dealing for an endpoint up, if it is this box's.
-    pub(in crate::gateway::dispatch) fn take_up_dealing(&mut self, id: &EndpointId) {
+    pub(in crate::gateway::dispatch) fn start_allocating(&mut self, id: &EndpointId) {
         let is_new = !self.permits.dealers.contains_key(id);
-        if is_new && self.dealt_by(id) == Some(DealtBy::Me) {
+        if is_new && self.limit_owner(id) == Some(LimitOwner::ThisBox) {
             let starts = self.dealing_starts(id);
-            self.permits.dealers.insert(id.clone(), Dealer::new(starts));
+            self.permits
+                .dealers
+                .insert(id.clone(), PermitAllocator::new(starts));
         }
     }
 }
--- a/src/gateway/dispatch/permits/dealer.rs
+++ b/src/gateway/dispatch/permits/allocator.rs
@@ -2,7 +2,7 @@
 //!
 //! Permits accrue at the rate that the endpoint names and go to whoever asked last: the request that one
 //! is asked for waits only a moment, or goes elsewhere. Beyond [`most_saved`] they don't accrue. Nothing is
-//! dealt before [`Dealer::starts`].
+//! dealt before [`PermitAllocator::starts`].
 //!
 //! Inputs: asks, the rate, the time. Weighed: the ask that waits longest first (permits then reach boxes
 //! whose request has gone elsewhere).
@@ -28,7 +28,7 @@
 
 /// Who asks for permits.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Asker {
+pub struct PermitRequester {
     /// Where permits go.
     pub reply_to: SocketAddr,
     /// How many are wanted.
@@ -37,13 +37,13 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Ask {
-    asker: Asker,
+    asker: PermitRequester,
     at: Micros,
 }
 
 /// Deals the permits for one endpoint.
 #[derive(Clone, Debug)]
-pub struct Dealer {
+pub struct PermitAllocator {
     starts: Micros,
     saved: f64,
     reckoned: Micros,
@@ -57,7 +57,7 @@
     slow.max(rate * SAVED_FOR.as_secs_f64())
 }
 
-impl Dealer {
+impl PermitAllocator {
     /// A dealer that has saved nothing and deals nothing before `starts`.
     #[must_use]
     pub fn new(starts: Micros) -> Self {
@@ -77,25 +77,25 @@
     }
 
     /// Takes in an ask.
-    pub fn on_ask(&mut self, asker: Asker, now: Micros) {
+    pub fn on_ask(&mut self, asker: PermitRequester, now: Micros) {
         self.asks
             .retain(|ask| ask.asker.reply_to != asker.reply_to && is_kept(ask, now));
         if self.asks.len() >= MOST_ASKING {
             self.asks.remove(0);
         }
         let wanted = asker.wanted.min(MOST_WANTED);
-        let asker = Asker { wanted, ..asker };
+        let asker = PermitRequester { wanted, ..asker };
         self.asks.push(Ask { asker, at: now });
     }
 
     /// Deals what has accrued; returns who gets how many.
-    pub fn deal(&mut self, rate: RequestRate, now: Micros) -> Vec<Asker> {
+    pub fn allocate(&mut self, rate: RequestRate, now: Micros) -> Vec<PermitRequester> {
         let rate = rate.per_second().max(LEAST_RATE);
         let grown = rate * now.since(self.reckoned).as_secs_f64();
         self.saved = (self.saved + grown).min(most_saved(rate));
         self.reckoned = self.reckoned.max(now);
         self.asks.retain(|ask| is_kept(ask, now));
-        let mut dealt: Vec<Asker> = Vec::new();
+        let mut dealt: Vec<PermitRequester> = Vec::new();
         while now >= self.starts && self.saved >= 1.0 {
             let Some(mut ask) = self.asks.pop() else {
                 break;
@@ -127,10 +127,10 @@
     ask.asker.wanted > 0 && now.since(ask.at) < ASK_KEPT
 }
 
-fn add_one(dealt: &mut Vec<Asker>, reply_to: SocketAddr) {
+fn add_one(dealt: &mut Vec<PermitRequester>, reply_to: SocketAddr) {
     match dealt.iter_mut().find(|asker| asker.reply_to == reply_to) {
         Some(asker) => asker.wanted += 1,
-        None => dealt.push(Asker {
+        None => dealt.push(PermitRequester {
             reply_to,
             wanted: 1,
         }),
--- a/src/gateway/dispatch/placement.rs
+++ b/src/gateway/dispatch/placement.rs
@@ -3,13 +3,13 @@
 //! The rule: of the endpoints of the service that take work, were not tried before and can be
 //! reached, the one of least cost. For an engine the cost is the time that the prompts before this
 //! one still take to prefill, since prefill is what engines have least of, plus what runs beside
-//! it; for a plain service what runs there. Distance, a lack of room and an endpoint's standing are
+//! it; for a plain service what runs there. Distance, a lack of room and an endpoint's recent health are
 //! added. [`costs`] holds the table.
 //!
 //! Inputs: the fleet as this box believes it now. What other boxes run is up to 10 ms old inside
 //! the failure domain; outside it is the older the more boxes there are, since each tells one box
 //! of another domain each 300 ms ([`super::gossip`]); what they told is taken to be prefilled
-//! meanwhile. Weighed (docs/PLATFORM.md): full accounts to all boxes, engines dealt out to boxes,
+//! meanwhile. Weighed (docs/PLATFORM.md): full accounts to all boxes, engines partitioned among boxes,
 //! engines' own reports.
 
 pub mod costs;
@@ -17,7 +17,7 @@
 use std::time::Duration;
 
 use crate::gateway::dispatch::event::Tokens;
-use crate::gateway::dispatch::fleet::standing::Failing;
+use crate::gateway::dispatch::fleet::health::Failing;
 use crate::gateway::dispatch::fleet::usage::PREFILL_TOKENS_PER_MS;
 use crate::gateway::dispatch::fleet::{Endpoint, Fleet};
 use crate::gateway::dispatch::rollout::VersionRules;
@@ -64,7 +64,7 @@
 impl Demand<'_> {
     /// Whether an attempt was made before at an endpoint, in its present life.
     fn was_tried(&self, endpoint: &Endpoint) -> bool {
-        self.tried.iter().any(|life| endpoint.is_life(life))
+        self.tried.iter().any(|life| endpoint.is_incarnation(life))
     }
 }
 
@@ -206,7 +206,7 @@
         };
         work + distance
             + beside
-            + weighing.standing_cost(endpoint, usage.running)
+            + weighing.health_cost(endpoint, usage.running)
             + tie_break(demand, &endpoint.spec.id)
     }
 
@@ -249,8 +249,8 @@
     }
 
     /// What an endpoint costs whatever the request.
-    fn standing_cost(&self, endpoint: &Endpoint, running: u32) -> f64 {
-        let failing = endpoint.standing.failing(self.now);
+    fn health_cost(&self, endpoint: &Endpoint, running: u32) -> f64 {
+        let failing = endpoint.health.failing(self.now);
         let mut cost = failing.beyond(self.least_failing) * costs::FAILING;
         if running >= endpoint.spec.slots {
             cost += costs::FULL;
--- a/src/gateway/dispatch/replicas.rs
+++ b/src/gateway/dispatch/replicas.rs
@@ -122,7 +122,7 @@
         if best == Independence::Safe {
             return None;
         }
-        let engine = self.fleet.living(&active.endpoint)?;
+        let engine = self.fleet.get_incarnation(&active.endpoint)?;
         let wanted = [
             Independence::Safe,
             Independence::BothOutside,
@@ -172,7 +172,7 @@
         host: Option<&EndpointIncarnation>,
         active: &ActiveAttempt,
     ) -> Independence {
-        let host = host.and_then(|host| self.fleet.living(host));
+        let host = host.and_then(|host| self.fleet.get_incarnation(host));
         host.map_or(Independence::Lost, |host| {
             self.independence_at(host, active)
         })
@@ -293,7 +293,7 @@
 
     /// Takes a snapshot off the counts.
     pub(super) fn uncount_snapshot(&mut self, snapshot: &Snapshot) {
-        if let Some(endpoint) = self.fleet.living_mut(&snapshot.host) {
+        if let Some(endpoint) = self.fleet.get_incarnation_mut(&snapshot.host) {
             endpoint.own.memory = endpoint.own.memory.saturating_sub(snapshot.memory);
         }
     }
@@ -320,7 +320,7 @@
         // The engine copies memory only once the prompt was prefilled.
         let mirror = active.mirror.as_ref().filter(|_| active.has_events);
         let mirror = mirror.and_then(|host| {
-            let address = self.fleet.living(host)?.spec.address;
+            let address = self.fleet.get_incarnation(host)?.spec.address;
             Some(Replica {
                 host: host.clone(),
                 at: ReplicaLocation {
@@ -356,7 +356,7 @@
         let now = self.now;
         let alone = self.runs_alone(number);
         while let Some(replica) = self.next_replica(number) {
-            let host = self.fleet.living(&replica.host);
+            let host = self.fleet.get_incarnation(&replica.host);
             let is_usable = host.is_some_and(|e| {
                 let is_free = !alone || self.fleet.usage(e, now).running == 0;
                 let is_usable = is_free && e.takes_work() && !e.is_avoided(now);
--- a/src/gateway/dispatch/retry.rs
+++ b/src/gateway/dispatch/retry.rs
@@ -9,7 +9,7 @@
 //! instance has taken over are not, since no server has seen the request.
 //!
 //! Inputs: the outcome, and of the request whether it may run again. What is done to the endpoint's
-//! standing meanwhile is in [`super::outcomes`]. Weighed: paying for every attempt (a cut of one
+//! health meanwhile is in [`super::outcomes`]. Weighed: paying for every attempt (a cut of one
 //! failure domain then spends the budget on connections that nobody saw), and passing a server's
 //! own error on at once (it then is the caller's answer, though another server might do better: of
 //! 62 redeem checks that met one on lundavik's calm day, 53 met another at a second server,
--- a/src/gateway/dispatch/rollout_samples.rs
+++ b/src/gateway/dispatch/rollout_samples.rs
@@ -178,7 +178,7 @@
         let Some(rollout) = self.rollouts.of_mut(&request.service) else {
             return;
         };
-        let endpoint = self.fleet.living(&active.endpoint);
+        let endpoint = self.fleet.get_incarnation(&active.endpoint);
         let Some(endpoint) = endpoint.filter(|_| rollout.tells(timed, step, self.now)) else {
             return;
         };
--- a/src/gateway/dispatch/suspicion.rs
+++ b/src/gateway/dispatch/suspicion.rs
@@ -16,7 +16,7 @@
 //! A request has these checks, the first that holds is carried out: its deadline is over (given
 //! up); it waits for what follows from a crash, and that is known (goes on, [`super::crashes`]); it
 //! waits for an endpoint and the pause is over (looks again); a call is slow (moves); its engine has
-//! started again, and nothing of the attempt was heard since (moves, [`super::rebirth`]); its engine is
+//! started again, and nothing of the attempt was heard since (moves, [`super::endpoint_restart`]); its engine is
 //! silent (probe); its replicas are due ([`super::replicas`]).
 
 use std::time::Duration;
@@ -27,7 +27,7 @@
 use super::record::Record;
 use super::request::{Request, has_come, millis};
 use super::table::RouteKind;
-use crate::schema::{Birth, EndpointId, Micros};
+use crate::schema::{EndpointId, Micros, StartTime};
 
 /// Longest pause of a stream before its engine is probed. A stream beside a prompt that is
 /// prefilled gets an event each 152 ms; with 160 ms there were 25,545 probes on grown sahel
@@ -93,7 +93,7 @@
         let request = self.requests.get(&number)?;
         request.engine?;
         let active = request.active.as_ref()?;
-        let endpoint = self.fleet.living(&active.endpoint)?;
+        let endpoint = self.fleet.get_incarnation(&active.endpoint)?;
         let limit = if active.has_events {
             PAUSE_BEFORE_PROBE
         } else {
@@ -137,11 +137,16 @@
         }
     }
 
-    pub(super) fn on_probed(&mut self, id: &EndpointId, is_answered: bool, born: Option<Birth>) {
+    pub(super) fn on_probed(
+        &mut self,
+        id: &EndpointId,
+        is_answered: bool,
+        born: Option<StartTime>,
+    ) {
         let now = self.now;
         let asked = self.fleet.get(id).and_then(|e| e.probe_sent);
         if let Some((asked, born)) = asked.zip(born) {
-            self.on_birth(id, born, asked);
+            self.on_start_time(id, born, asked);
         }
         let Some(endpoint) = self.fleet.get_mut(id) else {
             return;
--- a/src/gateway/shell/datagram.rs
+++ b/src/gateway/shell/datagram.rs
@@ -11,7 +11,7 @@
 
 use crate::gateway::dispatch::event::Event;
 use crate::schema::{
-    BeganNews, BoxId, BoxState, CrashNews, DatagramSection, DutyHolder, LimitNews, UsageNews,
+    BeganNews, BoxId, BoxState, CrashNews, DatagramSection, DutyHolder, LimitUpdate, UsageNews,
 };
 
 /// The first byte of a datagram with a [`BoxState`].
@@ -24,7 +24,7 @@
 const BEGAN: u16 = 2;
 /// The kind of a section with a [`DutyHolder`].
 const HOLDER: u16 = 3;
-/// The kind of a section with [`LimitNews`].
+/// The kind of a section with [`LimitUpdate`].
 const LIMITS: u16 = 4;
 
 /// The datagram with a box's state.
@@ -76,7 +76,7 @@
 /// # Errors
 ///
 /// If it can't be encoded.
-pub fn write_limits(news: &LimitNews) -> Result<Vec<u8>, postcard::Error> {
+pub fn write_limits(news: &LimitUpdate) -> Result<Vec<u8>, postcard::Error> {
     with_section(telling_nothing(&news.from)?, LIMITS, news)
 }
 
--- a/src/gateway/shell/dialect.rs
+++ b/src/gateway/shell/dialect.rs
@@ -19,7 +19,7 @@
 use crate::gateway::dispatch::refusal::Refusal;
 use crate::gateway::dispatch::rollout::status::{ObjectState, StatusWrite};
 use crate::gateway::dispatch::table::{RoutingTable, TableError};
-use crate::schema::{Birth, BoxId, EndpointId, Fingerprint};
+use crate::schema::{BoxId, EndpointId, Fingerprint, StartTime};
 
 /// Why a request can't be read.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -178,7 +178,7 @@
     fn is_engine(&self, body: &[u8]) -> bool;
 
     /// When the process that answered this at the path of [`Self::load_path`] started, if it says so.
-    fn birth(&self, body: &[u8]) -> Option<Birth>;
+    fn start_time(&self, body: &[u8]) -> Option<StartTime>;
 
     /// The path and body with which an engine is asked for a snapshot of an attempt.
     fn snapshot_request(&self, run: &str, to: SocketAddr) -> (&'static str, String);
--- a/src/gateway/shell/metrics.rs
+++ b/src/gateway/shell/metrics.rs
@@ -234,7 +234,7 @@
     fn on_limits(&self, limited: usize, permits: PermitCounts) {
         self.limited.set(i64::try_from(limited).unwrap_or(i64::MAX));
         let kinds = [
-            ("dealt", permits.dealt),
+            ("dealt", permits.allocated),
             ("used", permits.used),
             ("wanted", permits.wanted),
         ];
--- a/src/gateway/shell/probes.rs
+++ b/src/gateway/shell/probes.rs
@@ -40,7 +40,7 @@
     let event = Event::Probed {
         endpoint,
         is_answered: answer.is_some(),
-        born: answer.and_then(|body| shared.dialect.birth(&body?)),
+        born: answer.and_then(|body| shared.dialect.start_time(&body?)),
     };
     shared.send(Input::Event(event)).await;
 }
@@ -111,7 +111,7 @@
         if instance == spec.id && spec.born.is_some() {
             shared.metrics.probes.inc();
             let (_, body) = connection.get(shared.dialect.load_path()).await?;
-            born = Some(shared.dialect.birth(&body)?);
+            born = Some(shared.dialect.start_time(&body)?);
         }
         shared.pool.put_back(connection);
         Some((instance, born))
@@ -136,7 +136,7 @@
         return;
     };
     if shared.dialect.is_engine(&body) {
-        let born = shared.dialect.birth(&body);
+        let born = shared.dialect.start_time(&body);
         let event = Event::Identified(EndpointSpec { born, ..spec });
         shared.send(Input::Event(event)).await;
     }
--- a/src/schema/generated.rs
+++ b/src/schema/generated.rs
@@ -260,60 +260,6 @@
     ///The last windows.
     pub windows: ::std::vec::Vec<WindowCounts>,
 }
-///When an endpoint's process started, by its own clock: Unix milliseconds.
-#[derive(
-    ::serde::Deserialize,
-    ::serde::Serialize,
-    Clone,
-    Copy,
-    Debug,
-    Eq,
-    Hash,
-    Ord,
-    PartialEq,
-    PartialOrd
-)]
-#[serde(transparent)]
-pub struct Birth(pub u64);
-impl ::std::ops::Deref for Birth {
-    type Target = u64;
-    fn deref(&self) -> &u64 {
-        &self.0
-    }
-}
-impl ::std::convert::From<Birth> for u64 {
-    fn from(value: Birth) -> Self {
-        value.0
-    }
-}
-impl ::std::convert::From<u64> for Birth {
-    fn from(value: u64) -> Self {
-        Self(value)
-    }
-}
-impl ::std::fmt::Display for Birth {
-    fn fmt(&self, f: &mut ::std::fmt::Formatter<'_>) -> ::std::fmt::Result {
-        self.0.fmt(f)
-    }
-}
-impl ::std::str::FromStr for Birth {
-    type Err = <u64 as ::std::str::FromStr>::Err;
-    fn from_str(value: &str) -> ::std::result::Result<Self, Self::Err> {
-        Ok(Self(value.parse()?))
-    }
-}
-impl ::std::convert::TryFrom<&str> for Birth {
-    type Error = <u64 as ::std::str::FromStr>::Err;
-    fn try_from(value: &str) -> ::std::result::Result<Self, Self::Error> {
-        value.parse()
-    }
-}
-impl ::std::convert::TryFrom<String> for Birth {
-    type Error = <u64 as ::std::str::FromStr>::Err;
-    fn try_from(value: String) -> ::std::result::Result<Self, Self::Error> {
-        value.parse()
-    }
-}
 ///An entry box, unique within the fleet.
 #[derive(::serde::Serialize, Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 #[serde(transparent)]
@@ -895,7 +841,7 @@
 pub struct EndpointIncarnation {
     ///When that life began, if the endpoint says so.
     #[serde(deserialize_with = "::std::option::Option::deserialize")]
-    pub born: ::std::option::Option<Birth>,
+    pub born: ::std::option::Option<StartTime>,
     pub id: EndpointId,
 }
 ///What an endpoint serves.
@@ -1612,33 +1558,33 @@
             })
     }
 }
+///What an answer of an endpoint to a box said that the endpoint takes.
+#[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
+#[serde(deny_unknown_fields)]
+pub struct LimitReport {
+    ///Milliseconds since that answer.
+    pub age_ms: u32,
+    pub endpoint: EndpointIncarnation,
+    ///Thousandths of a request a second that it takes from all boxes together; nothing where it named no limit.
+    #[serde(deserialize_with = "::std::option::Option::deserialize")]
+    pub milli_per_second: ::std::option::Option<u32>,
+}
 ///What a box tells others of endpoints that name limits.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
-pub struct LimitNews {
+pub struct LimitUpdate {
     ///Permits that are asked for.
-    pub asks: ::std::vec::Vec<PermitAsk>,
+    pub asks: ::std::vec::Vec<PermitRequest>,
     pub from: BoxId,
     ///Permits that are granted.
     pub grants: ::std::vec::Vec<PermitGrant>,
     ///Whether another box than the one that asks sent this.
     pub is_passed_on: bool,
     ///What endpoints said.
-    pub notes: ::std::vec::Vec<LimitNote>,
+    pub notes: ::std::vec::Vec<LimitReport>,
     ///Where permits go that are asked for.
     pub reply_to: ::std::string::String,
 }
-///What an answer of an endpoint to a box said that the endpoint takes.
-#[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
-#[serde(deny_unknown_fields)]
-pub struct LimitNote {
-    ///Milliseconds since that answer.
-    pub age_ms: u32,
-    pub endpoint: EndpointIncarnation,
-    ///Thousandths of a request a second that it takes from all boxes together; nothing where it named no limit.
-    #[serde(deserialize_with = "::std::option::Option::deserialize")]
-    pub milli_per_second: ::std::option::Option<u32>,
-}
 ///An endpoint's load as one box read it.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
@@ -2299,14 +2245,6 @@
     pub domain: DomainId,
     pub id: BoxId,
 }
-///A box asks for permits to send requests to an endpoint that names a limit.
-#[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
-#[serde(deny_unknown_fields)]
-pub struct PermitAsk {
-    pub endpoint: EndpointIncarnation,
-    ///How many requests it would send there.
-    pub wanted: u32,
-}
 ///Permits to send requests to an endpoint that names a limit.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
@@ -2315,6 +2253,14 @@
     ///How many.
     pub permits: u32,
 }
+///A box asks for permits to send requests to an endpoint that names a limit.
+#[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
+#[serde(deny_unknown_fields)]
+pub struct PermitRequest {
+    pub endpoint: EndpointIncarnation,
+    ///How many requests it would send there.
+    pub wanted: u32,
+}
 ///How requests are served.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
@@ -3093,6 +3039,60 @@
     pub term: u64,
     pub unknown_for: Millis,
 }
+///When an endpoint's process started, by its own clock: Unix milliseconds.
+#[derive(
+    ::serde::Deserialize,
+    ::serde::Serialize,
+    Clone,
+    Copy,
+    Debug,
+    Eq,
+    Hash,
+    Ord,
+    PartialEq,
+    PartialOrd
+)]
+#[serde(transparent)]
+pub struct StartTime(pub u64);
+impl ::std::ops::Deref for StartTime {
+    type Target = u64;
+    fn deref(&self) -> &u64 {
+        &self.0
+    }
+}
+impl ::std::convert::From<StartTime> for u64 {
+    fn from(value: StartTime) -> Self {
+        value.0
+    }
+}
+impl ::std::convert::From<u64> for StartTime {
+    fn from(value: u64) -> Self {
+        Self(value)
+    }
+}
+impl ::std::fmt::Display for StartTime {
+    fn fmt(&self, f: &mut ::std::fmt::Formatter<'_>) -> ::std::fmt::Result {
+        self.0.fmt(f)
+    }
+}
+impl ::std::str::FromStr for StartTime {
+    type Err = <u64 as ::std::str::FromStr>::Err;
+    fn from_str(value: &str) -> ::std::result::Result<Self, Self::Err> {
+        Ok(Self(value.parse()?))
+    }
+}
+impl ::std::convert::TryFrom<&str> for StartTime {
+    type Error = <u64 as ::std::str::FromStr>::Err;
+    fn try_from(value: &str) -> ::std::result::Result<Self, Self::Error> {
+        value.parse()
+    }
+}
+impl ::std::convert::TryFrom<String> for StartTime {
+    type Error = <u64 as ::std::str::FromStr>::Err;
+    fn try_from(value: String) -> ::std::result::Result<Self, Self::Error> {
+        value.parse()
+    }
+}
 ///An entry of the list of endpoints.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
--- a/src/schema/incarnation.rs
+++ b/src/schema/incarnation.rs
@@ -1,16 +1,16 @@
 //! One life of an endpoint: its id, and when its process started.
 //!
 //! A process may start again under the id that it had, and then holds and knows nothing of before.
-//! Written as `ID`, or as `ID@BIRTH` where the endpoint says when it started.
+//! Written as `ID`, or as `ID@START_TIME` where the endpoint says when it started.
 
 use std::fmt;
 use std::str::FromStr;
 
 use super::generated::error::ConversionError;
-use super::{Birth, EndpointId, EndpointIncarnation};
+use super::{EndpointId, EndpointIncarnation, StartTime};
 
 /// Separates the id from the birth.
-const BIRTH_MARK: char = '@';
+const START_TIME_MARK: char = '@';
 
 impl EndpointIncarnation {
     /// Whether two accounts can be of the same life: where one of them doesn't tell the birth, the
@@ -31,7 +31,7 @@
 impl fmt::Display for EndpointIncarnation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.born {
-            Some(Birth(born)) => write!(f, "{}{BIRTH_MARK}{born}", self.id),
+            Some(StartTime(born)) => write!(f, "{}{START_TIME_MARK}{born}", self.id),
             None => self.id.fmt(f),
         }
     }
@@ -41,9 +41,9 @@
     type Err = ConversionError;
 
     fn from_str(text: &str) -> Result<Self, ConversionError> {
-        let told = text.rsplit_once(BIRTH_MARK);
+        let told = text.rsplit_once(START_TIME_MARK);
         let told = told.and_then(|(id, born)| Some((id, born.parse().ok()?)));
-        let (id, born) = told.map_or((text, None), |(id, born)| (id, Some(Birth(born))));
+        let (id, born) = told.map_or((text, None), |(id, born)| (id, Some(StartTime(born))));
         Ok(Self {
             id: id.parse()?,
             born,
--- a/tests/datagram.rs
+++ b/tests/datagram.rs
@@ -12,8 +12,8 @@
 };
 use magpiemoor::schema::{
     BeganNews, BoxState, CrashNews, CrashNote, DatagramSection, DutyHolder, EndpointUsage,
-    Fingerprint, Incarnation, LimitNews, LimitNote, OrganisationCount, PermitAsk, PermitGrant,
-    RequestAge, RunningBox, ServiceTotals, UsageNews, WindowCounts,
+    Fingerprint, Incarnation, LimitReport, LimitUpdate, OrganisationCount, PermitGrant,
+    PermitRequest, RequestAge, RunningBox, ServiceTotals, UsageNews, WindowCounts,
 };
 
 fn production(file: &str) -> Vec<u8> {
@@ -252,16 +252,16 @@
 /// The version in production reads a message that tells nothing, and leaves limits behind it.
 #[test]
 fn limits_go_behind_a_message_that_tells_nothing() {
-    let news = LimitNews {
+    let news = LimitUpdate {
         from: "box-1".parse().unwrap(),
         reply_to: "10.1.0.7:7200".to_owned(),
         is_passed_on: true,
-        notes: vec![LimitNote {
+        notes: vec![LimitReport {
             endpoint: "till-1@1700000000000".parse().unwrap(),
             milli_per_second: Some(1_900),
             age_ms: 12,
         }],
-        asks: vec![PermitAsk {
+        asks: vec![PermitRequest {
             endpoint: "till-1".parse().unwrap(),
             wanted: 2,
         }],
--- a/tests/incarnations.rs
+++ b/tests/incarnations.rs
@@ -14,10 +14,10 @@
     EndpointChange, EndpointSpec, Event, Fault, Outcome, RequestNumber,
 };
 use magpiemoor::gateway::dispatch::fleet::Endpoint;
-use magpiemoor::gateway::dispatch::fleet::standing::Standing;
+use magpiemoor::gateway::dispatch::fleet::health::EndpointHealth;
 use magpiemoor::gateway::dispatch::record::Record;
 use magpiemoor::schema::{
-    Birth, BoxState, EndpointAnswers, EndpointId, EndpointIncarnation, EndpointUsage, UsageNews,
+    BoxState, EndpointAnswers, EndpointId, EndpointIncarnation, EndpointUsage, StartTime, UsageNews,
 };
 use rstest::rstest;
 
@@ -29,7 +29,7 @@
 fn entry(id: &str, born: Option<u64>, revision: u64) -> EndpointSpec {
     let spec = endpoints().into_iter().find(|e| e.id.as_str() == id);
     EndpointSpec {
-        born: born.map(Birth),
+        born: born.map(StartTime),
         revision,
         ..spec.unwrap()
     }
@@ -197,7 +197,7 @@
     let usage = world.dispatcher.fleet().usage(endpoint, world.now);
     assert_eq!((usage.running, usage.prefill), (0, 0));
     assert!(!endpoint.is_avoided(world.now));
-    assert_eq!(endpoint.standing, Standing::default());
+    assert_eq!(endpoint.health, EndpointHealth::default());
     assert_eq!(born(&world, "engine-n1"), Some(2_000));
 }
 
@@ -234,7 +234,7 @@
     let more = (3..7).map(|n| {
         let spec = endpoint(&format!("engine-n{n}"), "engines", "north", 9_200 + n);
         EndpointChange::Present(EndpointSpec {
-            born: Some(Birth(FIRST)),
+            born: Some(StartTime(FIRST)),
             revision: 20 + u64::from(n),
             ..spec
         })
@@ -261,7 +261,7 @@
     let id = suspected.expect("the domain was lost").to_owned();
     let port = found(&world, &id).spec.address.port();
     let spec = EndpointSpec {
-        born: Some(Birth(2_000)),
+        born: Some(StartTime(2_000)),
         revision: 60,
         ..endpoint(&id, "engines", "north", port)
     };
@@ -336,8 +336,8 @@
     let endpoint = found(&world, &first.endpoint);
     assert_eq!(endpoint.own.running, 0);
     assert_eq!(
-        endpoint.standing,
-        Standing::default(),
+        endpoint.health,
+        EndpointHealth::default(),
         "it was the life before"
     );
 }
@@ -351,7 +351,10 @@
     assert!(found(&world, &first.endpoint).is_avoided(world.now));
     reborn(&mut world, &first.endpoint, 2_000, 50);
     assert!(!found(&world, &first.endpoint).is_avoided(world.now));
-    assert_eq!(found(&world, &first.endpoint).standing, Standing::default());
+    assert_eq!(
+        found(&world, &first.endpoint).health,
+        EndpointHealth::default()
+    );
 }
 
 #[test]
@@ -377,7 +380,7 @@
     world.handle(Event::Probed {
         endpoint: first.endpoint.clone(),
         is_answered: true,
-        born: Some(Birth(2_000)),
+        born: Some(StartTime(2_000)),
     });
     assert_eq!(born(&world, &first.endpoint), Some(2_000));
     // The attempt of the life before is silent already, and moves with the next tick.
@@ -404,7 +407,7 @@
     world.handle(Event::Probed {
         endpoint: first.endpoint.clone(),
         is_answered: true,
-        born: Some(Birth(FIRST)),
+        born: Some(StartTime(FIRST)),
     });
     assert_eq!(born(&world, &first.endpoint), Some(2_000));
 }
@@ -434,7 +437,7 @@
     world.handle(Event::Named {
         endpoint: host.clone(),
         instance: host.clone(),
-        born: Some(Birth(2_000)),
+        born: Some(StartTime(2_000)),
     });
     assert_eq!(born(&world, &host), Some(2_000));
     world.end(request, first.attempt, CLOSED);
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -10,12 +10,12 @@
 use magpiemoor::gateway::dispatch::action::Action;
 use magpiemoor::gateway::dispatch::event::{Event, Outcome};
 use magpiemoor::gateway::dispatch::fleet::limits::{Limits, PERMIT_FOR, RequestRate};
-use magpiemoor::gateway::dispatch::permits::dealer::{Asker, Dealer};
+use magpiemoor::gateway::dispatch::permits::allocator::{PermitAllocator, PermitRequester};
 use magpiemoor::gateway::dispatch::record::Record;
 use magpiemoor::rendezvous;
 use magpiemoor::schema::{
-    DomainSize, EndpointId, EndpointIncarnation, LimitNews, LimitNote, Micros, PermitAsk,
-    PermitGrant,
+    DomainSize, EndpointId, EndpointIncarnation, LimitReport, LimitUpdate, Micros, PermitGrant,
+    PermitRequest,
 };
 use rstest::rstest;
 
@@ -106,8 +106,8 @@
     assert_eq!(world.dispatcher.fleet().limits.count(), 0);
 }
 
-fn note(endpoint: &str, milli: Option<u32>, age_ms: u32) -> LimitNote {
-    LimitNote {
+fn note(endpoint: &str, milli: Option<u32>, age_ms: u32) -> LimitReport {
+    LimitReport {
         endpoint: endpoint.parse().unwrap(),
         milli_per_second: milli,
         age_ms,
@@ -175,35 +175,35 @@
     assert!(!limits.on_sent(&other, AT), "no permit was needed");
 }
 
-fn asker(port: u16, wanted: u32) -> Asker {
-    Asker {
+fn asker(port: u16, wanted: u32) -> PermitRequester {
+    PermitRequester {
         reply_to: ([127, 0, 0, 1], port).into(),
         wanted,
     }
 }
 
-/// In any four seconds no more is dealt than the limit allows, and what was saved.
+/// In any four seconds no more permits are allocated than the limit allows plus the burst.
 #[rstest]
 #[case::slow(400)]
 #[case::as_in_the_incident(1_900)]
 #[case::fast(30_000)]
 fn a_dealer_deals_what_the_limit_allows(#[case] milli: u32) {
     let rate = RequestRate::from_milli(milli);
-    let mut dealer = Dealer::new(AT);
-    let mut dealt = Vec::new();
+    let mut allocator = PermitAllocator::new(AT);
+    let mut allocated = Vec::new();
     for step in 0..6_000_u64 {
         let now = AT.after(Duration::from_millis(step * 5));
         // Nobody asks for a while, then all do.
         if step % 2_000 > 1_000 {
-            dealer.on_ask(asker(1, 40), now);
-            dealer.on_ask(asker(2, 40), now);
+            allocator.on_ask(asker(1, 40), now);
+            allocator.on_ask(asker(2, 40), now);
         }
-        let count: u32 = dealer.deal(rate, now).iter().map(|a| a.wanted).sum();
-        dealt.extend(std::iter::repeat_n(now, count as usize));
+        let count: u32 = allocator.allocate(rate, now).iter().map(|a| a.wanted).sum();
+        allocated.extend(std::iter::repeat_n(now, count as usize));
     }
     let window = Duration::from_secs(4);
-    let most = dealt.iter().map(|last| {
-        let within = dealt.iter().filter(|at| **at <= *last);
+    let most = allocated.iter().map(|last| {
+        let within = allocated.iter().filter(|at| **at <= *last);
         within.filter(|at| last.since(**at) < window).count()
     });
     let most = most.max().unwrap_or_default() as f64;
@@ -218,37 +218,37 @@
 #[test]
 fn a_dealer_serves_whoever_asked_last_and_forgets_old_asks() {
     let rate = RequestRate::from_milli(2_000);
-    let mut dealer = Dealer::new(AT);
+    let mut allocator = PermitAllocator::new(AT);
     let at = |ms| AT.after(Duration::from_millis(ms));
-    dealer.on_ask(asker(1, 1), at(300));
-    dealer.on_ask(asker(2, 1), at(440));
-    assert_eq!(dealer.deal(rate, at(440)), []);
-    assert_eq!(dealer.due(rate), Some(at(500)));
-    assert_eq!(dealer.deal(rate, at(500)), [asker(2, 1)]);
-    assert_eq!(dealer.due(rate), None, "the first ask is too old");
+    allocator.on_ask(asker(1, 1), at(300));
+    allocator.on_ask(asker(2, 1), at(440));
+    assert_eq!(allocator.allocate(rate, at(440)), []);
+    assert_eq!(allocator.due(rate), Some(at(500)));
+    assert_eq!(allocator.allocate(rate, at(500)), [asker(2, 1)]);
+    assert_eq!(allocator.due(rate), None, "the first ask is too old");
 }
 
 #[test]
 fn a_dealer_that_pauses_deals_nothing_and_saves_nothing() {
     let rate = RequestRate::from_milli(10_000);
-    let mut dealer = Dealer::new(AT);
+    let mut allocator = PermitAllocator::new(AT);
     let until = AT.after(Duration::from_secs(4));
-    dealer.pause_until(until);
+    allocator.pause_until(until);
     for ms in (0..4_000).step_by(50) {
         let now = AT.after(Duration::from_millis(ms));
-        dealer.on_ask(asker(1, 9), now);
-        assert_eq!(dealer.deal(rate, now), []);
+        allocator.on_ask(asker(1, 9), now);
+        assert_eq!(allocator.allocate(rate, now), []);
     }
-    dealer.on_ask(asker(1, 9), until);
-    let dealt = dealer.deal(rate, until.after(Duration::from_millis(100)));
-    assert_eq!(dealt, [asker(1, 1)]);
+    allocator.on_ask(asker(1, 9), until);
+    let allocated = allocator.allocate(rate, until.after(Duration::from_millis(100)));
+    assert_eq!(allocated, [asker(1, 1)]);
 }
 
 /// What was to be told of an endpoint that is gone by then must not keep the box busy.
 #[test]
 fn a_box_rests_after_an_endpoint_with_a_changed_limit_has_gone() {
     let mut world = World::ready();
-    // Boxes of the other domain deal the permits for its endpoints.
+    // Boxes of the other domain allocate the permits for its endpoints.
     let mut other = box_state("box-9", "south", "127.0.0.9:7200");
     other.domains = vec![DomainSize {
         domain: "south".parse().unwrap(),
@@ -278,8 +278,8 @@
     assert!(world.dispatcher.next_tick() > world.now);
 }
 
-/// A box of the own domain, at an address by which it deals the permits for an endpoint.
-fn dealing_peer(world: &mut World, endpoint: &str) -> SocketAddr {
+/// A box of the own domain, at an address by which it owns the limit of an endpoint.
+fn limit_owner_peer(world: &mut World, endpoint: &str) -> SocketAddr {
     let item = rendezvous::item(endpoint);
     let score = |address: &SocketAddr| rendezvous::score(&address.to_string(), item);
     let me: SocketAddr = "127.0.0.1:7200".parse().unwrap();
@@ -293,7 +293,7 @@
 }
 
 /// Permits that a box asks others for, by the endpoint.
-fn asks(actions: &[Action]) -> Vec<(Vec<SocketAddr>, PermitAsk)> {
+fn asks(actions: &[Action]) -> Vec<(Vec<SocketAddr>, PermitRequest)> {
     let asked = actions.iter().filter_map(|action| match action {
         Action::TellLimits { to, news } => Some((to, news)),
         _ => None,
@@ -305,10 +305,10 @@
     asked.collect()
 }
 
-/// A box with a limited till of its domain, the box that deals for it, and a call that used it.
+/// A box with a limited till of its domain, the box that owns its limit, and a call that used it.
 fn limited_world() -> (World, SocketAddr) {
     let mut world = World::ready();
-    let dealer = dealing_peer(&mut world, "till-n1");
+    let owner = limit_owner_peer(&mut world, "till-n1");
     let (request, sent) = world.arrive(QUOTES);
     let sent = sent.unwrap();
     assert_eq!(&*sent.endpoint, "till-n1");
@@ -318,11 +318,11 @@
         limit: Some(rate("200")),
     });
     world.end(request, sent.attempt, Outcome::Answered { status: 200 });
-    (world, dealer)
+    (world, owner)
 }
 
 fn granted(permits: u32) -> Event {
-    Event::PeerLimits(LimitNews {
+    Event::PeerLimits(LimitUpdate {
         from: "box-2".parse().unwrap(),
         reply_to: "127.0.0.2:7200".to_owned(),
         is_passed_on: false,
@@ -337,13 +337,13 @@
 
 #[test]
 fn an_ask_is_not_held_back_once_the_one_before_was_answered() {
-    let (mut world, dealer) = limited_world();
+    let (mut world, owner) = limited_world();
     for _ in 0..5 {
         let (_, sent) = world.arrive(QUOTES);
         assert_eq!(&*sent.unwrap().endpoint, "till-s1", "it goes elsewhere");
         let asked = asks(&world.actions);
         assert_eq!(asked.len(), 1);
-        assert_eq!(asked[0].0, [dealer]);
+        assert_eq!(asked[0].0, [owner]);
         // While nobody answers, it is not asked again.
         world.arrive(QUOTES);
         assert_eq!(asks(&world.actions), []);
@@ -357,14 +357,14 @@
 /// An ask of another domain's box comes to any box here, which passes it on once.
 #[test]
 fn an_ask_is_passed_on_to_the_box_that_deals_but_only_once() {
-    let (mut world, dealer) = limited_world();
+    let (mut world, owner) = limited_world();
     for is_passed_on in [false, true] {
-        let news = LimitNews {
+        let news = LimitUpdate {
             from: "box-s".parse().unwrap(),
             reply_to: "127.0.1.1:7200".to_owned(),
             is_passed_on,
             notes: Vec::new(),
-            asks: vec![PermitAsk {
+            asks: vec![PermitRequest {
                 endpoint: "till-n1".parse().unwrap(),
                 wanted: 1,
             }],
@@ -376,7 +376,7 @@
         let expected = if is_passed_on {
             vec![]
         } else {
-            vec![vec![dealer]]
+            vec![vec![owner]]
         };
         assert_eq!(to, expected);
     }
