--- a/lab/src/gateway/rollout.rs
+++ b/lab/src/gateway/rollout.rs
@@ -144,7 +144,7 @@
     /// All of them, by name.
     pub const NAMED: [(&'static str, Self); 3] = [
         ("even", Self::EVEN),
-        ("thin route", Self::THIN_ROUTE),
+        ("thin route", Self::LOW_TRAFFIC_ROUTE),
         ("few", Self::FEW),
     ];
 
@@ -156,7 +156,7 @@
         first_route: 0.59,
     };
     /// More requests, of which few go to the first route.
-    pub const THIN_ROUTE: Self = Self {
+    pub const LOW_TRAFFIC_ROUTE: Self = Self {
         calls_per_s: 254.0,
         streams_per_s: 39.0,
         engines_per_domain: 40,
--- a/src/gateway/dispatch/rollout.rs
+++ b/src/gateway/dispatch/rollout.rs
@@ -120,7 +120,7 @@
     is_sound: bool,
     canaries: Canaries,
     /// The shares of the routes whose requests are too few for the canary's ordinary one, by series.
-    thin_routes: BTreeMap<u32, f64>,
+    low_traffic_routes: BTreeMap<u32, f64>,
     evidence: Evidence,
     /// Whether this box has left the other versions for good. It says so, and the others may then stop at
     /// any time: without this a box behind a cut link went back to them after it had said so, and the
@@ -170,7 +170,7 @@
             judged: Micros::ZERO,
             is_sound: false,
             canaries: Canaries::default(),
-            thin_routes: BTreeMap::new(),
+            low_traffic_routes: BTreeMap::new(),
             evidence: Evidence::default(),
             has_left: false,
             has_told_clear: false,
@@ -265,7 +265,7 @@
             return 0.0;
         }
         let of_all = self.canaries.share(now.since(self.seen_first));
-        let of_route = self.thin_routes.get(&series).copied();
+        let of_route = self.low_traffic_routes.get(&series).copied();
         of_route.map_or(of_all, |share| share.max(of_all))
     }
 
@@ -323,7 +323,12 @@
     }
 
     /// Looks at the evidence, the time and the other boxes.
-    fn look(&mut self, limit: ExposureLimit, around: &Surroundings<'_>, now: Micros) -> Vec<Step> {
+    fn evaluate(
+        &mut self,
+        limit: ExposureLimit,
+        around: &Surroundings<'_>,
+        now: Micros,
+    ) -> Vec<Step> {
         let mut steps = Vec::new();
         if around.is_watching && self.object.is_some() {
             self.vouched = now;
--- a/src/gateway/dispatch/rollout/exposure.rs
+++ b/src/gateway/dispatch/rollout/exposure.rs
@@ -110,7 +110,7 @@
     /// The shares of routes that need more than the ordinary one to be judged, by series, as far as the
     /// limit leaves requests for them beside the canary and, where it fits, the last step.
     #[must_use]
-    pub fn thin_routes(
+    pub fn low_traffic_routes(
         &self,
         forecast: &Forecast,
         routes: &BTreeMap<u32, Requests>,
--- a/src/gateway/dispatch/rollout/judging.rs
+++ b/src/gateway/dispatch/rollout/judging.rs
@@ -64,12 +64,12 @@
         now: Micros,
     ) -> CanaryShare {
         let ordinary = limit.canary_share(forecast);
-        self.thin_routes.clear();
+        self.low_traffic_routes.clear();
         let mut of_all = ordinary;
         if let Some(forecast) = forecast {
             let routes = self.evidence.routes(domain, now);
-            self.thin_routes = limit.thin_routes(forecast, &routes);
-            let more = self.thin_routes.iter().map(|(series, share)| {
+            self.low_traffic_routes = limit.low_traffic_routes(forecast, &routes);
+            let more = self.low_traffic_routes.iter().map(|(series, share)| {
                 let of_route = routes.get(series).map_or(0.0, |route| route.rate);
                 (share - ordinary) * of_route / forecast.rate.max(f64::MIN_POSITIVE)
             });
--- a/src/gateway/dispatch/rollout/known.rs
+++ b/src/gateway/dispatch/rollout/known.rs
@@ -10,7 +10,7 @@
 use super::status::{ObjectState, RolloutStatus};
 use super::{Noted, Rollout, RolloutOrder, Step, Surroundings, VOUCHED_FOR};
 use crate::gateway::dispatch::roster::unpack_address;
-use crate::schema::{DomainId, Micros, RolloutNote, RolloutPhase, RolloutState, ServiceId};
+use crate::schema::{DomainId, Micros, RolloutPhase, RolloutProgress, RolloutState, ServiceId};
 
 /// All roll-outs that a box knows of: one for a service.
 #[derive(Debug)]
@@ -147,7 +147,7 @@
     }
 
     /// Takes in how far boxes of the own domain are.
-    pub fn on_notes(&mut self, notes: &[RolloutNote], now: Micros) -> Vec<Step> {
+    pub fn on_notes(&mut self, notes: &[RolloutProgress], now: Micros) -> Vec<Step> {
         let mut steps = Vec::new();
         for note in notes {
             let known = self.known.get_mut(&note.service);
@@ -167,7 +167,7 @@
     }
 
     /// Looks at a roll-out, with what the box knows around it.
-    pub fn look(
+    pub fn evaluate(
         &mut self,
         service: &ServiceId,
         around: &Surroundings<'_>,
@@ -175,7 +175,7 @@
     ) -> Vec<Step> {
         let limit = self.limit;
         let known = self.known.get_mut(service);
-        known.map_or_else(Vec::new, |known| known.look(limit, around, now))
+        known.map_or_else(Vec::new, |known| known.evaluate(limit, around, now))
     }
 
     /// Forgets the orders that nobody vouches for.
@@ -207,10 +207,10 @@
     /// How far this box is with a roll-out that leaves other versions, or was found bad; none of one
     /// that is finished.
     #[must_use]
-    pub fn note(&self, service: &ServiceId, address: &[u8]) -> Option<RolloutNote> {
+    pub fn note(&self, service: &ServiceId, address: &[u8]) -> Option<RolloutProgress> {
         let known = self.known.get(service)?;
         let is_wanted = known.phase != RolloutPhase::Canary && !known.is_finished();
-        is_wanted.then(|| RolloutNote {
+        is_wanted.then(|| RolloutProgress {
             service: service.clone(),
             order: known.order.id,
             phase: known.phase,
--- a/src/gateway/dispatch/rollouts.rs
+++ b/src/gateway/dispatch/rollouts.rs
@@ -25,7 +25,7 @@
 use super::roster::pack_address;
 use super::table::RouteKind;
 use crate::schema::{
-    BoxState, DomainId, RolloutNote, RolloutPhase, RolloutSample, RolloutState, ServiceId,
+    BoxState, DomainId, RolloutPhase, RolloutProgress, RolloutSample, RolloutState, ServiceId,
     UsageNews,
 };
 
@@ -109,7 +109,10 @@
         let mut steps = Vec::new();
         for service in &around.services {
             let surroundings = around.of(service, &self.fleet, &self.cfg.domain);
-            steps.extend(self.rollouts.look(&service.name, &surroundings, self.now));
+            steps.extend(
+                self.rollouts
+                    .evaluate(&service.name, &surroundings, self.now),
+            );
         }
         self.carry_out(steps);
         self.note_if_due();
@@ -216,7 +219,7 @@
     }
 
     /// What this box tells of how far it is with roll-outs.
-    pub(super) fn rollout_notes(&self) -> Vec<RolloutNote> {
+    pub(super) fn rollout_notes(&self) -> Vec<RolloutProgress> {
         let address = pack_address(self.cfg.address);
         let notes = self.rollouts.iter().filter_map(|rollout| {
             let service = &rollout.order().service;
--- a/src/schema/generated.rs
+++ b/src/schema/generated.rs
@@ -2619,19 +2619,6 @@
         Self::Call(value)
     }
 }
-///How far a box is with a roll-out.
-#[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
-#[serde(deny_unknown_fields)]
-pub struct RolloutNote {
-    ///Its address for other boxes: the bytes of its IP number, then two of its port.
-    pub address: ::std::vec::Vec<u8>,
-    ///Whether it has no work at endpoints of other versions, and sends none.
-    pub is_clear: bool,
-    ///The order, by its content.
-    pub order: u64,
-    pub phase: RolloutPhase,
-    pub service: ServiceId,
-}
 ///How far a roll-out is; boxes that are told of a later phase enter it.
 #[derive(
     ::serde::Deserialize,
@@ -2703,6 +2690,19 @@
         value.parse()
     }
 }
+///How far a box is with a roll-out.
+#[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
+#[serde(deny_unknown_fields)]
+pub struct RolloutProgress {
+    ///Its address for other boxes: the bytes of its IP number, then two of its port.
+    pub address: ::std::vec::Vec<u8>,
+    ///Whether it has no work at endpoints of other versions, and sends none.
+    pub is_clear: bool,
+    ///The order, by its content.
+    pub order: u64,
+    pub phase: RolloutPhase,
+    pub service: ServiceId,
+}
 ///One answer of an endpoint while a roll-out is in force.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
@@ -3261,7 +3261,7 @@
     pub answers: ::std::vec::Vec<EndpointAnswers>,
     pub from: BoxId,
     ///How far it is with roll-outs that switch.
-    pub rollouts: ::std::vec::Vec<RolloutNote>,
+    pub rollouts: ::std::vec::Vec<RolloutProgress>,
     ///Answers of endpoints of services with a roll-out.
     pub samples: ::std::vec::Vec<RolloutSample>,
     ///What it has counted for the services that it runs something of.
--- a/tests/gateway_parts.rs
+++ b/tests/gateway_parts.rs
@@ -14,9 +14,9 @@
 use magpiemoor::gateway::shell::watcher::{StoreAnswer, StoreChange, StoreRequest, Watcher};
 use magpiemoor::schema::{
     AnswerTimes, BoxState, DomainSize, DomainTally, DomainUsage, EndpointAnswers, EndpointUsage,
-    GatewaySettingsFile, Incarnation, PackedEntries, PackedTable, PeerAddress, RolloutNote,
-    RolloutPhase, RolloutSample, RolloutState, RunningBox, SeriesTally, ServiceTotals, StateReply,
-    StateRequest, StoreReader, UsageNews,
+    GatewaySettingsFile, Incarnation, PackedEntries, PackedTable, PeerAddress, RolloutPhase,
+    RolloutProgress, RolloutSample, RolloutState, RunningBox, SeriesTally, ServiceTotals,
+    StateReply, StateRequest, StoreReader, UsageNews,
 };
 use magpiemoor::settings::file::parse_as;
 use proptest::prelude::*;
@@ -320,7 +320,7 @@
             series: 7,
             step: 255,
         }],
-        rollouts: vec![RolloutNote {
+        rollouts: vec![RolloutProgress {
             service: "s".parse().unwrap(),
             order: 9,
             phase: RolloutPhase::Bad,
--- a/tests/rollout_exposure.rs
+++ b/tests/rollout_exposure.rs
@@ -55,9 +55,10 @@
     assert!((LIMIT.canary_share(None) - usual).abs() < 1e-9);
 }
 
-/// What canary and thin routes get together with the last step, where that fits, is within the limit.
+/// The requests of the canary, of low-traffic routes and, where it fits, of the last step stay within
+/// the limit.
 #[rstest]
-fn shares_of_thin_routes_stay_within_the_limit(
+fn shares_of_low_traffic_routes_stay_within_the_limit(
     #[values(2.0, 8.0, 40.0, 120.0, 254.0, 1_000.0)] rate: f64,
     #[values(0.01, 0.06, 0.4)] of_few: f64,
     #[values(0.0, 5.0)] moved: f64,
@@ -70,10 +71,10 @@
     };
     let routes = BTreeMap::from([(MANY, route(1.0 - of_few)), (FEW, route(of_few))]);
     let usual = LIMIT.canary_share(Some(&forecast));
-    let thin = LIMIT.thin_routes(&forecast, &routes);
+    let shares = LIMIT.low_traffic_routes(&forecast, &routes);
     let to_come = 11.0;
     let expected = routes.iter().map(|(series, route)| {
-        let share = thin.get(series).copied().unwrap_or(usual);
+        let share = shares.get(series).copied().unwrap_or(usual);
         assert!(share <= 0.5 + 1e-9 && share >= usual - 1e-9, "{share}");
         share * route.rate * to_come
     });
@@ -91,7 +92,7 @@
         rate,
     };
     let routes = BTreeMap::from([(MANY, route(36.8)), (FEW, route(2.2))]);
-    let thin = LIMIT.thin_routes(&forecast, &routes);
-    assert!(thin[&FEW] > 0.4, "{thin:?}");
-    assert!(!thin.contains_key(&MANY), "{thin:?}");
+    let shares = LIMIT.low_traffic_routes(&forecast, &routes);
+    assert!(shares[&FEW] > 0.4, "{shares:?}");
+    assert!(!shares.contains_key(&MANY), "{shares:?}");
 }
--- a/tests/rollout_fleets.rs
+++ b/tests/rollout_fleets.rs
@@ -76,11 +76,11 @@
 /// A fault that no canary shows: only at endpoints busier than any is, or on a route with few requests.
 /// Nobody can know of it in time, so what bounds it is how much a version gets, whatever is known of it.
 #[rstest]
-#[case::engines_under_load(true, Shows::UnderLoad(16), Traffic::THIN_ROUTE)]
-#[case::engines_on_a_thin_route(true, Shows::OnOneRoute, Traffic::THIN_ROUTE)]
+#[case::engines_under_load(true, Shows::UnderLoad(16), Traffic::LOW_TRAFFIC_ROUTE)]
+#[case::engines_on_a_low_traffic_route(true, Shows::OnOneRoute, Traffic::LOW_TRAFFIC_ROUTE)]
 #[case::engines_late(true, Shows::Later(11.0), Traffic::EVEN)]
-#[case::plain_under_load(false, Shows::UnderLoad(40), Traffic::THIN_ROUTE)]
-#[case::plain_on_a_thin_route(false, Shows::OnOneRoute, Traffic::THIN_ROUTE)]
+#[case::plain_under_load(false, Shows::UnderLoad(40), Traffic::LOW_TRAFFIC_ROUTE)]
+#[case::plain_on_a_low_traffic_route(false, Shows::OnOneRoute, Traffic::LOW_TRAFFIC_ROUTE)]
 #[case::plain_late(false, Shows::Later(11.0), Traffic::EVEN)]
 fn a_version_whose_fault_nobody_sees_gets_no_more_than_a_bad_one_may(
     #[case] engines: bool,
