--- a/src/gateway/dispatch/attempts.rs
+++ b/src/gateway/dispatch/attempts.rs
@@ -228,7 +228,7 @@
         request.attempts += 1;
         request.tried.push(active.endpoint.clone());
         request.next_placement = None;
-        request.without_endpoint = None;
+        request.unplaced_since = None;
         request.active = Some(active);
     }
 
@@ -257,7 +257,7 @@
         let Some(request) = self.requests.get_mut(&number) else {
             return;
         };
-        let since = *request.without_endpoint.get_or_insert(now);
+        let since = *request.unplaced_since.get_or_insert(now);
         if now.since(since) >= placement_timeout(request) {
             self.give_up_without_attempt(number);
             return;
--- a/src/gateway/dispatch/outcomes.rs
+++ b/src/gateway/dispatch/outcomes.rs
@@ -2,7 +2,7 @@
 //! attempt, and callers that disconnect.
 //!
 //! The end of an attempt updates the assumed state of its endpoint (here) and decides what follows
-//! for the request ([`super::retry`]). Each end is first recorded and the attempt removed from the
+//! for the request ([`super::retry`]). Each end is first recorded and the attempt is removed from the
 //! usage counts.
 
 use std::time::Duration;
@@ -22,7 +22,7 @@
 
 impl Dispatcher {
     pub(super) fn on_caller_disconnected(&mut self, number: RequestNumber) {
-        self.queued.retain(|held| held.number != number);
+        self.queued.retain(|queued| queued.number != number);
         let Some(request) = self.requests.remove(&number) else {
             return;
         };
@@ -187,7 +187,7 @@
         match after_attempt(outcome, request.may_run_again()) {
             AfterAttempt::Finish => self.finish(number, Command::Finish, true),
             AfterAttempt::TryAgain => self.start_next_attempt(number),
-            // The retry waits for the verdict on the crash of its endpoint ([`super::crashes`]).
+            // The retry waits for the verdict on the crash of its endpoint (`super::crashes`).
             AfterAttempt::Retry if request.retry_at.is_some() => {}
             AfterAttempt::Retry => self.retry(number),
             AfterAttempt::RetryOrDeliver if self.take_retry(number) => {
@@ -253,8 +253,8 @@
     }
 
     /// Starts an identity check of an instance that took over an engine's address. During a store
-    /// outage the endpoint list may not show the instance for long. The instance may also belong to
-    /// another service, so the check runs only if the table has a single engine service.
+    /// outage the endpoint list may lack the instance for a long time. The instance may also belong to
+    /// another service, so the check runs only if the endpoint's service is the only one with engines.
     fn identify(&mut self, former: &EndpointId, instance: Option<&EndpointId>) {
         let Some(table) = &self.table else {
             return;
--- a/src/gateway/dispatch/placement.rs
+++ b/src/gateway/dispatch/placement.rs
@@ -280,10 +280,10 @@
 
 /// Returns a cost that is pseudo-random for each pair of request key and endpoint.
 fn tie_break(demand: Demand<'_>, endpoint: &EndpointId) -> f64 {
-    let drawn = rendezvous::score(endpoint, demand.key);
-    let greatest = match demand.engine {
+    let score = rendezvous::score(endpoint, demand.key);
+    let upper_bound = match demand.engine {
         Some(_) => costs::TIE_BREAK,
         None => costs::TIE_BREAK_PLAIN,
     };
-    (1.0 - drawn as f64 / u64::MAX as f64) * greatest
+    (1.0 - score as f64 / u64::MAX as f64) * upper_bound
 }
--- a/src/gateway/dispatch/replicas.rs
+++ b/src/gateway/dispatch/replicas.rs
@@ -27,7 +27,7 @@
 use super::fleet::Endpoint;
 use super::record::Record;
 use super::replica::{Replica, ReplicaLocation, Snapshot};
-use super::request::{ActiveAttempt, Request, has_come, millis};
+use super::request::{ActiveAttempt, Request, is_due, millis};
 use crate::schema::{EndpointId, EndpointIncarnation, Micros};
 
 /// Time between two snapshots of an attempt at the same host. 1.5 s made no difference to the score
@@ -83,7 +83,7 @@
         else {
             return;
         };
-        if !active.has_events || !has_come(Some(active.next_replica_check), now) {
+        if !active.has_events || !is_due(Some(active.next_replica_check), now) {
             return;
         }
         let snapshot = active.snapshot.as_ref();
--- a/src/gateway/dispatch/request.rs
+++ b/src/gateway/dispatch/request.rs
@@ -100,7 +100,7 @@
     /// Time of the next search for an endpoint, if the last one found none.
     pub next_placement: Option<Micros>,
     /// Time of the first search that found no endpoint; reset when an attempt starts.
-    pub without_endpoint: Option<Micros>,
+    pub unplaced_since: Option<Micros>,
     /// Time of the next attempt after a crash of the last endpoint: the verdict on the crash is known
     /// by then.
     pub retry_at: Option<Micros>,
@@ -141,7 +141,7 @@
             is_counted: false,
             fault: None,
             next_placement: None,
-            without_endpoint: None,
+            unplaced_since: None,
             retry_at: None,
         }
     }
@@ -203,6 +203,6 @@
 }
 
 /// Whether `at` is set and not later than `now`.
-pub(super) fn has_come(at: Option<Micros>, now: Micros) -> bool {
+pub(super) fn is_due(at: Option<Micros>, now: Micros) -> bool {
     at.is_some_and(|at| now >= at)
 }
--- a/src/gateway/dispatch/suspicion.rs
+++ b/src/gateway/dispatch/suspicion.rs
@@ -25,7 +25,7 @@
 use super::action::{Action, Command};
 use super::event::{Outcome, RequestNumber};
 use super::record::Record;
-use super::request::{Request, has_come, millis};
+use super::request::{Request, is_due, millis};
 use super::table::RouteKind;
 use crate::schema::{EndpointId, Micros, StartTime};
 
@@ -71,10 +71,10 @@
         };
         if now >= request.deadline {
             self.give_up_expired(number);
-        } else if has_come(request.next_placement, now) {
+        } else if is_due(request.next_placement, now) {
             request.next_placement = None;
             self.start_attempt_anywhere(number);
-        } else if has_come(request.retry_at, now) {
+        } else if is_due(request.retry_at, now) {
             request.retry_at = None;
             self.retry(number);
         } else if is_slow_call(request, now) || self.is_stranded(number) {
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Which requests a box admits, holds back or refuses, on made-up time.
+//! Which requests a box admits, queues or refuses, on a simulated clock.
 
 #[path = "gateway/fixtures.rs"]
 mod fixtures;
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn what_is_held_back_is_forgotten_when_its_caller_leaves() {
+fn a_queued_request_is_removed_when_its_caller_disconnects() {
     let mut world = World::empty(GENEROUS);
     let (request, _) = world.arrive(PAYMENTS);
     assert_eq!(world.dispatcher.active(), 1);
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_box_that_knows_nothing_holds_only_so_many_requests_back() {
+fn a_box_without_configuration_queues_a_bounded_number_of_requests() {
     let mut world = World::empty(GENEROUS);
     let refused = (0..600).filter(|_| {
         world.arrive(QUOTES);
