--- a/src/gateway/dispatch.rs
+++ b/src/gateway/dispatch.rs
@@ -103,7 +103,7 @@
 
 /// The least time without any event that tells of a standstill: a box that runs has a tick each 300
 /// ms.
-const STANDSTILL: Duration = Duration::from_secs(1);
+const MIN_PROCESS_PAUSE: Duration = Duration::from_secs(1);
 /// Microseconds of an incarnation for each beat: boxes tell others less often than that, so a later
 /// life begins with a greater beat than an earlier one had in the end.
 const MICROS_PER_BEAT: u64 = 10_000;
@@ -236,7 +236,7 @@
 
     /// Takes in an event that happened at `now`, which must not run backwards.
     pub fn handle(&mut self, now: Micros, event: Event) -> Vec<Action> {
-        self.note_standstill(now);
+        self.note_process_pause(now);
         self.now = now.max(self.now);
         match event {
             Event::Arrived { request, arrival } => self.on_arrival(request, arrival),
@@ -366,12 +366,12 @@
 
     /// Notes a time in which this box stood still: it could hear nobody, so what it knows of other
     /// boxes is as it was.
-    fn note_standstill(&mut self, now: Micros) {
+    fn note_process_pause(&mut self, now: Micros) {
         let time = now.since(self.now);
-        if time >= STANDSTILL {
-            self.peers.on_standstill(time);
-            self.store_watchers.on_standstill(time);
-            self.permits.on_standstill(now);
+        if time >= MIN_PROCESS_PAUSE {
+            self.peers.on_process_pause(time);
+            self.store_watchers.on_process_pause(time);
+            self.permits.on_process_pause(now);
         }
     }
 
--- a/src/gateway/dispatch/action.rs
+++ b/src/gateway/dispatch/action.rs
@@ -13,7 +13,7 @@
 use crate::gateway::dispatch::rollout::status::StatusWrite;
 use crate::schema::{
     BeganNews, BoxState, CrashNews, DutyHolder, EndpointId, EndpointIncarnation, Fingerprint,
-    LimitUpdate, OrganisationId, StateRequest, UsageNews,
+    LimitUpdate, OrganisationId, StateRequest, UsageUpdate,
 };
 
 /// One attempt of a request at an endpoint.
@@ -168,7 +168,7 @@
         /// Their addresses.
         to: Vec<SocketAddr>,
         /// What runs there now.
-        news: UsageNews,
+        news: UsageUpdate,
         /// What it knows of requests that crash endpoints.
         crashes: CrashNews,
     },
--- a/src/gateway/dispatch/crashes.rs
+++ b/src/gateway/dispatch/crashes.rs
@@ -169,7 +169,7 @@
             self.gossip_state(to);
         }
         self.decide_crashes();
-        if self.quarantine.has_untold() {
+        if self.quarantine.has_unpublished() {
             self.report_at_once();
         }
     }
@@ -228,7 +228,7 @@
         for request in self.quarantine.on_kept(kept, self.now) {
             self.quarantine_request(request);
         }
-        if self.quarantine.has_untold() {
+        if self.quarantine.has_unpublished() {
             self.gossip_soon();
             self.report_at_once();
         }
@@ -241,7 +241,7 @@
             self.gossip_soon();
             self.quarantine_request(request);
         }
-        if self.quarantine.has_untold() {
+        if self.quarantine.has_unpublished() {
             self.report_at_once();
         }
     }
--- a/src/gateway/dispatch/event.rs
+++ b/src/gateway/dispatch/event.rs
@@ -15,7 +15,7 @@
 use crate::gateway::dispatch::table::RoutingTable;
 use crate::schema::{
     BeganNews, BoxState, CrashNews, DomainId, DutyHolder, EndpointId, EndpointIncarnation,
-    Fingerprint, LimitUpdate, RequestAge, ServiceId, StartTime, UsageNews, VersionId,
+    Fingerprint, LimitUpdate, RequestAge, ServiceId, StartTime, UsageUpdate, VersionId,
 };
 
 /// A request as this box numbers it.
@@ -317,7 +317,7 @@
     /// Another box sent its state.
     Peer(BoxState),
     /// Another box told of the attempts that it has just made.
-    PeerUsage(UsageNews),
+    PeerUsage(UsageUpdate),
     /// Another box told of requests that crash endpoints.
     PeerCrashes {
         /// Its failure domain, if that is not the own one for sure.
--- a/src/gateway/dispatch/fleet.rs
+++ b/src/gateway/dispatch/fleet.rs
@@ -136,7 +136,7 @@
     /// Endpoints that the list dropped or showed as leaving, and when.
     departed: BTreeMap<EndpointId, Micros>,
     /// How attempts of this box ended that peers have not been told of.
-    untold: BTreeMap<EndpointId, EndpointAnswers>,
+    unpublished: BTreeMap<EndpointId, EndpointAnswers>,
     /// What other failure domains run at plain services.
     domain_usage: BTreeMap<DomainId, ToldUsage>,
     /// The services of the configuration, once there is one.
@@ -220,21 +220,23 @@
             broken: count(AnswerKind::Broken),
         };
         endpoint.health.add((&answers).into(), now);
-        match self.untold.get_mut(id) {
-            Some(untold) => {
-                untold.served += answers.served;
-                untold.errors += answers.errors;
-                untold.broken += answers.broken;
+        match self.unpublished.get_mut(id) {
+            Some(unpublished) => {
+                unpublished.served += answers.served;
+                unpublished.errors += answers.errors;
+                unpublished.broken += answers.broken;
             }
             None => {
-                self.untold.insert(id.clone(), answers);
+                self.unpublished.insert(id.clone(), answers);
             }
         }
     }
 
     /// How attempts of this box ended since this was asked last, to be told.
-    pub fn take_untold(&mut self) -> Vec<EndpointAnswers> {
-        std::mem::take(&mut self.untold).into_values().collect()
+    pub fn take_unpublished(&mut self) -> Vec<EndpointAnswers> {
+        std::mem::take(&mut self.unpublished)
+            .into_values()
+            .collect()
     }
 
     /// Takes in how attempts of a peer ended.
--- a/src/gateway/dispatch/fleet/incarnations.rs
+++ b/src/gateway/dispatch/fleet/incarnations.rs
@@ -40,7 +40,7 @@
         };
         self.losses.forget(&ended.id);
         self.limits.keep_incarnation(&endpoint.spec.incarnation());
-        self.untold.remove(&ended.id);
+        self.unpublished.remove(&ended.id);
         self.ended.push(ended);
     }
 
--- a/src/gateway/dispatch/gossip.rs
+++ b/src/gateway/dispatch/gossip.rs
@@ -18,7 +18,7 @@
 use super::fetches::{FetchKind, FetchOutcome};
 use super::peers::Heard;
 use super::store_watchers::{Contact, StoreWatchers};
-use crate::schema::{BoxState, CrashNews, DomainId, EndpointId, Micros, StateRequest, UsageNews};
+use crate::schema::{BoxState, CrashNews, DomainId, EndpointId, Micros, StateRequest, UsageUpdate};
 
 /// How long losses and versions gather before peers are told.
 const NEWS_PAUSE: Duration = Duration::from_millis(10);
@@ -84,10 +84,10 @@
         if self.now < self.pending_usage.due() {
             return;
         }
-        let crashes = self.quarantine.take_untold(self.now);
+        let crashes = self.quarantine.take_unpublished(self.now);
         let endpoints = std::mem::take(&mut self.pending_usage.endpoints);
         self.pending_usage.due = None;
-        let answers = self.fleet.take_untold();
+        let answers = self.fleet.take_unpublished();
         let samples = self.take_rollout_samples();
         let to = self.peers.of_own_domain(self.now);
         if to.is_empty() {
@@ -95,7 +95,7 @@
         }
         self.pending_usage.note_sent(to.len(), self.now);
         let usage = endpoints.iter().filter_map(|id| self.fleet.own_usage(id));
-        let news = UsageNews {
+        let news = UsageUpdate {
             from: self.cfg.me.clone(),
             usage: usage.collect(),
             answers,
@@ -104,12 +104,12 @@
             rollouts: self.rollout_notes(),
         };
         self.actions.push(Action::GossipUsage { to, news, crashes });
-        if self.quarantine.has_untold() {
+        if self.quarantine.has_unpublished() {
             self.report_at_once();
         }
     }
 
-    pub(super) fn on_peer_usage(&mut self, news: &UsageNews) {
+    pub(super) fn on_peer_usage(&mut self, news: &UsageUpdate) {
         self.fleet.on_peer_usage(&news.from, &news.usage, self.now);
         self.fleet.on_peer_answers(&news.answers, self.now);
         self.budget
--- a/src/gateway/dispatch/peers.rs
+++ b/src/gateway/dispatch/peers.rs
@@ -114,8 +114,8 @@
     }
 
     /// Has what is known grow no older by a time in which this box stood still.
-    pub fn on_standstill(&mut self, time: Duration) {
-        self.roster.on_standstill(time);
+    pub fn on_process_pause(&mut self, time: Duration) {
+        self.roster.on_process_pause(time);
         for peer in self.boxes.values_mut() {
             peer.heard = peer.heard.after(time);
         }
--- a/src/gateway/dispatch/permits.rs
+++ b/src/gateway/dispatch/permits.rs
@@ -53,7 +53,7 @@
     /// Until when this box stood still last.
     stood_still: Micros,
     /// Endpoints whose limit has changed by an answer to this box, and when that is to be told.
-    untold: BTreeSet<EndpointId>,
+    unpublished: BTreeSet<EndpointId>,
     tell_at: Option<Micros>,
     told_at: Micros,
     counts: PermitCounts,
@@ -74,7 +74,7 @@
     }
 
     /// Notes that this box stood still until now: another one may have taken its place.
-    pub fn on_standstill(&mut self, now: Micros) {
+    pub fn on_process_pause(&mut self, now: Micros) {
         self.stood_still = now;
         for dealer in self.dealers.values_mut() {
             dealer.pause_until(now.after(HANDOVER));
@@ -99,7 +99,7 @@
             && self.fleet.limits.on_answer(&life, limit, now)
         {
             self.on_limit_changed(&life.id);
-            self.permits.untold.insert(life.id);
+            self.permits.unpublished.insert(life.id);
             let due = now.max(self.permits.told_at.after(TELL_PAUSE));
             self.permits.tell_at.get_or_insert(due);
             self.tell_limits_if_due();
@@ -125,8 +125,8 @@
         }
         self.permits.tell_at = None;
         self.permits.told_at = self.now;
-        let untold = std::mem::take(&mut self.permits.untold);
-        let notes = untold
+        let unpublished = std::mem::take(&mut self.permits.unpublished);
+        let notes = unpublished
             .iter()
             .filter_map(|id| self.fleet.limits.note(id, self.now));
         let notes = notes.collect();
--- a/src/gateway/dispatch/quarantine.rs
+++ b/src/gateway/dispatch/quarantine.rs
@@ -66,7 +66,7 @@
     suspects: BTreeMap<Fingerprint, Suspect>,
     lives: BTreeMap<EndpointIncarnation, Witnesses>,
     /// What boxes of the own failure domain have not been told.
-    untold: BTreeSet<Fingerprint>,
+    unpublished: BTreeSet<Fingerprint>,
     /// Requests about which something has become known since they were decided about.
     undecided: BTreeSet<Fingerprint>,
     /// Which of the requests that are quarantined was told last for its own sake.
@@ -109,7 +109,7 @@
 
     /// Notes that an endpoint ended under a request.
     pub fn on_crash(&mut self, request: Fingerprint, crash: Crash, now: Micros) {
-        self.untold.insert(request);
+        self.unpublished.insert(request);
         if self.take_crash(request, crash, true, now) {
             self.reconsider(&[request]);
         }
@@ -167,7 +167,7 @@
         };
         if suspect.on_progress(last_event, ran) {
             suspect.changed = now;
-            self.untold.insert(request);
+            self.unpublished.insert(request);
             self.reconsider(&[request]);
         }
     }
@@ -179,7 +179,7 @@
         };
         if !suspect.crashes.is_empty() {
             suspect.changed = now;
-            self.untold.insert(request);
+            self.unpublished.insert(request);
             self.reconsider(&[request]);
             self.take_served(request, now, now);
         }
@@ -230,7 +230,7 @@
             suspect.quarantined = Some(now);
             suspect.changed = now;
         }
-        self.untold.insert(request);
+        self.unpublished.insert(request);
         true
     }
 
@@ -330,7 +330,7 @@
     }
 
     fn forget_lives_of(&mut self, request: Fingerprint, forgotten: &Suspect) {
-        self.untold.remove(&request);
+        self.unpublished.remove(&request);
         for crash in &forgotten.crashes {
             let Some(witnesses) = self.lives.get_mut(&crash.endpoint) else {
                 continue;
--- a/src/gateway/dispatch/quarantine/news.rs
+++ b/src/gateway/dispatch/quarantine/news.rs
@@ -45,7 +45,7 @@
             }
         }
         if !is_near {
-            self.untold.extend(&changed);
+            self.unpublished.extend(&changed);
         }
         self.reconsider(&changed);
         quarantined
@@ -90,15 +90,15 @@
 
     /// Whether boxes of the own failure domain are to be told something.
     #[must_use]
-    pub fn has_untold(&self) -> bool {
-        !self.untold.is_empty()
+    pub fn has_unpublished(&self) -> bool {
+        !self.unpublished.is_empty()
     }
 
     /// What boxes of the own failure domain have not been told, as much as a datagram holds.
-    pub fn take_untold(&mut self, now: Micros) -> CrashNews {
+    pub fn take_unpublished(&mut self, now: Micros) -> CrashNews {
         let mut news = CrashNews::default();
         while size(&news) < MOST_CRASHES_TOLD
-            && let Some(request) = self.untold.pop_first()
+            && let Some(request) = self.unpublished.pop_first()
         {
             if let Some(suspect) = self.suspects.get(&request) {
                 tell(&mut news, request, suspect, now);
--- a/src/gateway/dispatch/rollout/evidence.rs
+++ b/src/gateway/dispatch/rollout/evidence.rs
@@ -199,7 +199,7 @@
     /// The steps from which times are slow, by series, when the evidence was judged last.
     slow_from: BTreeMap<u32, usize>,
     /// Answers of this box that peers have not been told of.
-    untold: Vec<RolloutSample>,
+    unpublished: Vec<RolloutSample>,
 }
 
 impl Evidence {
@@ -217,7 +217,7 @@
     /// Counts an answer that this box got itself, and keeps it to be told.
     pub fn on_own_sample(&mut self, sample: RolloutSample, is_target: bool) {
         self.on_sample(&sample, is_target);
-        self.untold.push(sample);
+        self.unpublished.push(sample);
     }
 
     /// Whether a step of time is slow for a series.
@@ -228,8 +228,8 @@
     }
 
     /// The answers of this box since this was asked last, to be told.
-    pub fn take_untold(&mut self) -> Vec<RolloutSample> {
-        std::mem::take(&mut self.untold)
+    pub fn take_unpublished(&mut self) -> Vec<RolloutSample> {
+        std::mem::take(&mut self.unpublished)
     }
 
     /// Takes in what another domain knows; what is older than what is known is of no use.
--- a/src/gateway/dispatch/rollouts.rs
+++ b/src/gateway/dispatch/rollouts.rs
@@ -26,7 +26,7 @@
 use super::table::RouteKind;
 use crate::schema::{
     BoxState, DomainId, RolloutPhase, RolloutProgress, RolloutSample, RolloutState, ServiceId,
-    UsageNews,
+    UsageUpdate,
 };
 
 /// How long after streams were to leave one without a replica at the target leaves all the same.
@@ -235,7 +235,7 @@
         let mut samples = Vec::new();
         for service in services {
             if let Some(rollout) = self.rollouts.of_mut(&service) {
-                samples.extend(rollout.evidence_mut().take_untold());
+                samples.extend(rollout.evidence_mut().take_unpublished());
             }
         }
         samples
@@ -266,7 +266,7 @@
     }
 
     /// A box of the own domain told of its answers and of how far it is.
-    pub(super) fn on_rollout_news(&mut self, news: &UsageNews) {
+    pub(super) fn on_rollout_news(&mut self, news: &UsageUpdate) {
         for sample in &news.samples {
             let Some(endpoint) = self.fleet.get(&sample.endpoint) else {
                 continue;
--- a/src/gateway/dispatch/roster.rs
+++ b/src/gateway/dispatch/roster.rs
@@ -120,7 +120,7 @@
     /// Has what is known grow no older by a time in which this box stood still, since it could hear
     /// nobody then. A box that wakes from a freeze and takes all others for dead begins to read the
     /// store, and takes the whole reserve of retries.
-    pub fn on_standstill(&mut self, time: Duration) {
+    pub fn on_process_pause(&mut self, time: Duration) {
         for beat in self.members.values_mut() {
             beat.at = beat.at.after(time);
         }
--- a/src/gateway/dispatch/store_watchers.rs
+++ b/src/gateway/dispatch/store_watchers.rs
@@ -160,7 +160,7 @@
     }
 
     /// Has what is known grow no older by a time in which this box stood still.
-    pub fn on_standstill(&mut self, time: Duration) {
+    pub fn on_process_pause(&mut self, time: Duration) {
         for known in self.known.values_mut() {
             known.fresh_until = known.fresh_until.after(time);
         }
--- a/src/gateway/shell/datagram.rs
+++ b/src/gateway/shell/datagram.rs
@@ -11,12 +11,12 @@
 
 use crate::gateway::dispatch::event::Event;
 use crate::schema::{
-    BeganNews, BoxId, BoxState, CrashNews, DatagramSection, DutyHolder, LimitUpdate, UsageNews,
+    BeganNews, BoxId, BoxState, CrashNews, DatagramSection, DutyHolder, LimitUpdate, UsageUpdate,
 };
 
 /// The first byte of a datagram with a [`BoxState`].
 const STATE: u8 = 5;
-/// The first byte of a datagram with [`UsageNews`].
+/// The first byte of a datagram with [`UsageUpdate`].
 const USAGE: u8 = 4;
 /// The kind of a section with [`CrashNews`].
 const CRASHES: u16 = 1;
@@ -42,7 +42,7 @@
 /// # Errors
 ///
 /// If it can't be encoded.
-pub fn write_usage(news: &UsageNews, crashes: &CrashNews) -> Result<Vec<u8>, postcard::Error> {
+pub fn write_usage(news: &UsageUpdate, crashes: &CrashNews) -> Result<Vec<u8>, postcard::Error> {
     let message = postcard::to_extend(news, vec![USAGE])?;
     with_crashes(message, crashes)
 }
@@ -82,7 +82,7 @@
 
 /// A message that tells nothing, for what stands behind it.
 fn telling_nothing(from: &BoxId) -> Result<Vec<u8>, postcard::Error> {
-    let nothing = UsageNews {
+    let nothing = UsageUpdate {
         from: from.clone(),
         usage: Vec::new(),
         answers: Vec::new(),
--- a/src/schema/generated.rs
+++ b/src/schema/generated.rs
@@ -3256,7 +3256,7 @@
 ///What a box of the gateway has just begun and ended at endpoints, for the boxes of its failure domain.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
-pub struct UsageNews {
+pub struct UsageUpdate {
     ///How its attempts ended since it told that last.
     pub answers: ::std::vec::Vec<EndpointAnswers>,
     pub from: BoxId,
--- a/tests/datagram.rs
+++ b/tests/datagram.rs
@@ -13,7 +13,7 @@
 use magpiemoor::schema::{
     BeganNews, BoxState, CrashNews, CrashNote, DatagramSection, DutyHolder, EndpointUsage,
     Fingerprint, Incarnation, LimitReport, LimitUpdate, OrganisationCount, PermitGrant,
-    PermitRequest, RequestAge, RunningBox, ServiceTotals, UsageNews, WindowCounts,
+    PermitRequest, RequestAge, RunningBox, ServiceTotals, UsageUpdate, WindowCounts,
 };
 
 fn production(file: &str) -> Vec<u8> {
@@ -57,8 +57,8 @@
     }
 }
 
-fn news() -> UsageNews {
-    UsageNews {
+fn news() -> UsageUpdate {
+    UsageUpdate {
         from: "box-1".parse().unwrap(),
         usage: vec![usage()],
         answers: Vec::new(),
@@ -102,7 +102,7 @@
     }
 }
 
-fn peer_usage(event: &Event) -> &UsageNews {
+fn peer_usage(event: &Event) -> &UsageUpdate {
     match event {
         Event::PeerUsage(news) => news,
         other => panic!("{other:?}"),
@@ -160,7 +160,7 @@
     assert_eq!(read, state());
     let bytes = write_usage(&news(), &crashes()).unwrap();
     assert_eq!(bytes[0], production("usage.hex")[0]);
-    let read: UsageNews = postcard::from_bytes(&bytes[1..]).unwrap();
+    let read: UsageUpdate = postcard::from_bytes(&bytes[1..]).unwrap();
     assert_eq!(read, news());
 }
 
@@ -225,7 +225,7 @@
     };
     assert_eq!(*read, began());
     assert!(nothing.usage.is_empty() && nothing.totals.is_empty());
-    let as_production: UsageNews = postcard::from_bytes(&bytes[1..]).unwrap();
+    let as_production: UsageUpdate = postcard::from_bytes(&bytes[1..]).unwrap();
     assert_eq!(as_production, *nothing);
 }
 
@@ -277,6 +277,6 @@
     };
     assert_eq!(*read, news);
     assert!(nothing.usage.is_empty() && nothing.totals.is_empty());
-    let as_production: UsageNews = postcard::from_bytes(&bytes[1..]).unwrap();
+    let as_production: UsageUpdate = postcard::from_bytes(&bytes[1..]).unwrap();
     assert_eq!(as_production, *nothing);
 }
--- a/tests/gateway_parts.rs
+++ b/tests/gateway_parts.rs
@@ -16,7 +16,7 @@
     AnswerTimes, BoxState, DomainSize, DomainTally, DomainUsage, EndpointAnswers, EndpointUsage,
     GatewaySettingsFile, Incarnation, PackedEntries, PackedTable, PeerAddress, RolloutPhase,
     RolloutProgress, RolloutSample, RolloutState, RunningBox, SeriesTally, ServiceTotals,
-    StateReply, StateRequest, StoreReader, UsageNews,
+    StateReply, StateRequest, StoreReader, UsageUpdate,
 };
 use magpiemoor::settings::file::parse_as;
 use proptest::prelude::*;
@@ -305,7 +305,7 @@
         }],
         rollouts: vec![rollout_state()],
     };
-    let news = UsageNews {
+    let news = UsageUpdate {
         from: "box-1".parse().unwrap(),
         usage: state.usage.clone(),
         answers: vec![EndpointAnswers {
@@ -347,7 +347,7 @@
         is_whole: false,
     };
     let bytes = postcard::to_stdvec(&(&state, &news, &request, &reply)).unwrap();
-    let read: (BoxState, UsageNews, StateRequest, StateReply) =
+    let read: (BoxState, UsageUpdate, StateRequest, StateReply) =
         postcard::from_bytes(&bytes).unwrap();
     assert_eq!(read, (state, news, request, reply));
 }
--- a/tests/incarnations.rs
+++ b/tests/incarnations.rs
@@ -17,7 +17,8 @@
 use magpiemoor::gateway::dispatch::fleet::health::EndpointHealth;
 use magpiemoor::gateway::dispatch::record::Record;
 use magpiemoor::schema::{
-    BoxState, EndpointAnswers, EndpointId, EndpointIncarnation, EndpointUsage, StartTime, UsageNews,
+    BoxState, EndpointAnswers, EndpointId, EndpointIncarnation, EndpointUsage, StartTime,
+    UsageUpdate,
 };
 use rstest::rstest;
 
@@ -181,7 +182,7 @@
         errors: 0,
         broken: 9,
     };
-    world.handle(Event::PeerUsage(UsageNews {
+    world.handle(Event::PeerUsage(UsageUpdate {
         from: "box-2".parse().unwrap(),
         usage: vec![usage],
         answers: vec![answers],
@@ -211,7 +212,7 @@
             reading: 0,
             memory: 5_000,
         };
-        Event::PeerUsage(UsageNews {
+        Event::PeerUsage(UsageUpdate {
             from: "box-2".parse().unwrap(),
             usage: vec![usage],
             answers: Vec::new(),
--- a/tests/quarantine.rs
+++ b/tests/quarantine.rs
@@ -220,8 +220,8 @@
 
 fn all_news(quarantine: &mut Quarantine, now: Micros) -> CrashNews {
     let mut all = CrashNews::default();
-    while quarantine.has_untold() {
-        let news = quarantine.take_untold(now);
+    while quarantine.has_unpublished() {
+        let news = quarantine.take_unpublished(now);
         all.crashes.extend(news.crashes);
         all.served.extend(news.served);
         all.quarantined.extend(news.quarantined);
@@ -304,6 +304,6 @@
     }
     let news = quarantine.news_for_state(at(1));
     assert!(news.crashes.len() <= 24, "{}", news.crashes.len());
-    let untold = quarantine.take_untold(at(1));
-    assert!(untold.crashes.len() <= 24 && quarantine.has_untold());
+    let unpublished = quarantine.take_unpublished(at(1));
+    assert!(unpublished.crashes.len() <= 24 && quarantine.has_unpublished());
 }
--- a/tests/usage.rs
+++ b/tests/usage.rs
@@ -9,7 +9,7 @@
 use magpiemoor::gateway::dispatch::action::Action;
 use magpiemoor::gateway::dispatch::event::{Event, Outcome};
 use magpiemoor::schema::{
-    BoxState, DomainUsage, EndpointAnswers, EndpointId, EndpointUsage, UsageNews,
+    BoxState, DomainUsage, EndpointAnswers, EndpointId, EndpointUsage, UsageUpdate,
 };
 use rstest::rstest;
 
@@ -23,7 +23,7 @@
 }
 
 fn news(from: &str, usage: Vec<EndpointUsage>) -> Event {
-    Event::PeerUsage(UsageNews {
+    Event::PeerUsage(UsageUpdate {
         from: from.parse().unwrap(),
         usage,
         answers: Vec::new(),
@@ -40,7 +40,7 @@
     })
 }
 
-fn told(actions: &[Action]) -> Vec<(Vec<SocketAddr>, UsageNews)> {
+fn told(actions: &[Action]) -> Vec<(Vec<SocketAddr>, UsageUpdate)> {
     let told = actions.iter().filter_map(|action| match action {
         Action::GossipUsage { to, news, .. } => Some((to.clone(), news.clone())),
         _ => None,
@@ -271,7 +271,7 @@
     let first = |world: &mut World| world.arrive(QUOTES).1.unwrap().endpoint;
     // One error in five answers of the same service everywhere is no fault of a server.
     let told = |near, far| {
-        Event::PeerUsage(UsageNews {
+        Event::PeerUsage(UsageUpdate {
             from: "box-2".parse().unwrap(),
             usage: Vec::new(),
             answers: vec![near, far],
@@ -300,7 +300,7 @@
             errors: 0,
             broken: 20,
         };
-        world.handle(Event::PeerUsage(UsageNews {
+        world.handle(Event::PeerUsage(UsageUpdate {
             from: "box-2".parse().unwrap(),
             usage: Vec::new(),
             answers: vec![answers],
