--- a/lab/src/gen.rs
+++ b/lab/src/gen.rs
@@ -37,7 +37,7 @@
 const COMPARABLE: [&str; 1] = ["EndpointIncarnation"];
 
 /// Types that have an empty value.
-const WITH_DEFAULT: [&str; 2] = ["AnswerTimes", "CrashNews"];
+const WITH_DEFAULT: [&str; 2] = ["AnswerTimes", "CrashUpdate"];
 
 const HEADER: &str =
     "// Generated from schema/*.schema.json by `magpiemoor-lab gen`; do not edit.\n\n";
--- a/src/gateway/dispatch/action.rs
+++ b/src/gateway/dispatch/action.rs
@@ -12,8 +12,8 @@
 use crate::gateway::dispatch::replica::ReplicaLocation;
 use crate::gateway::dispatch::rollout::status::StatusWrite;
 use crate::schema::{
-    BeganNews, BoxState, CrashNews, DutyHolder, EndpointId, EndpointIncarnation, Fingerprint,
-    LimitUpdate, OrganisationId, StateRequest, UsageUpdate,
+    BoxState, CrashUpdate, DutyHolder, EndpointId, EndpointIncarnation, Fingerprint, LimitUpdate,
+    OrganisationId, StateRequest, UsageCountUpdate, UsageUpdate,
 };
 
 /// One attempt of a request at an endpoint.
@@ -159,7 +159,7 @@
         /// The state of this box.
         state: Box<BoxState>,
         /// What it knows of requests that crash endpoints.
-        crashes: CrashNews,
+        crashes: CrashUpdate,
         /// Who holds the duty to report usage, as it knows.
         holder: Option<DutyHolder>,
     },
@@ -170,14 +170,14 @@
         /// What runs there now.
         news: UsageUpdate,
         /// What it knows of requests that crash endpoints.
-        crashes: CrashNews,
+        crashes: CrashUpdate,
     },
     /// Tell boxes that may hold the duty how many requests began here, by UDP.
     TellBegan {
         /// Their addresses.
         to: Vec<SocketAddr>,
         /// What began.
-        news: BeganNews,
+        news: UsageCountUpdate,
     },
     /// Tell other boxes of endpoints that name limits, ask them for permits or grant some, by UDP.
     TellLimits {
--- a/src/gateway/dispatch/crashes.rs
+++ b/src/gateway/dispatch/crashes.rs
@@ -24,7 +24,7 @@
 use super::refusal::RefusalReason;
 use super::request::ActiveAttempt;
 use crate::schema::{
-    CrashNews, DomainId, EndpointIncarnation, Fingerprint, Micros, RequestAge, ServiceId,
+    CrashUpdate, DomainId, EndpointIncarnation, Fingerprint, Micros, RequestAge, ServiceId,
 };
 
 /// How long a connection may take that shows whether an endpoint has ended. Over the slowest sound
@@ -235,7 +235,7 @@
     }
 
     /// Other boxes told of crashes.
-    pub(super) fn on_peer_crashes(&mut self, domain: Option<&DomainId>, news: &CrashNews) {
+    pub(super) fn on_peer_crashes(&mut self, domain: Option<&DomainId>, news: &CrashUpdate) {
         let is_near = domain.is_none_or(|domain| *domain == self.cfg.domain);
         for request in self.quarantine.on_told(news, is_near, self.now) {
             self.gossip_soon();
--- a/src/gateway/dispatch/duties.rs
+++ b/src/gateway/dispatch/duties.rs
@@ -16,7 +16,7 @@
 use super::event::{Outcome, RequestNumber};
 use super::record::Record;
 use crate::clock::UnixMillis;
-use crate::schema::{BeganNews, DutyHolder, Micros};
+use crate::schema::{DutyHolder, Micros, UsageCountUpdate};
 
 /// How often a box tells what began there: what it had not told is lost with it.
 const TELL_EVERY: Duration = Duration::from_secs(1);
@@ -122,7 +122,7 @@
 
     /// A box told how many requests began there. Sums of the own failure domain would count its boxes
     /// twice: they tell this one themselves.
-    pub(super) fn on_peer_began(&mut self, news: &BeganNews) {
+    pub(super) fn on_peer_began(&mut self, news: &UsageCountUpdate) {
         let is_counted = news.of_domain.as_ref() == Some(&self.cfg.domain);
         if let Some(duty) = self.duty.as_mut().filter(|_| !is_counted) {
             duty.on_news(news, self.now);
--- a/src/gateway/dispatch/duty.rs
+++ b/src/gateway/dispatch/duty.rs
@@ -25,7 +25,9 @@
 use std::time::Duration;
 
 use crate::clock::UnixMillis;
-use crate::schema::{BeganNews, BoxId, DomainId, DutyHolder, Incarnation, Micros, OrganisationId};
+use crate::schema::{
+    BoxId, DomainId, DutyHolder, Incarnation, Micros, OrganisationId, UsageCountUpdate,
+};
 use began::{BeganCounts, Ledger, Window};
 use lease::{DutyAnswer, Lease, StoreCall};
 use report::Reports;
@@ -137,7 +139,7 @@
     }
 
     /// What this box tells those of its failure domain that may hold the duty; it is one of them itself.
-    pub fn news(&mut self, now: Now) -> BeganNews {
+    pub fn news(&mut self, now: Now) -> UsageCountUpdate {
         let news = self.began.news(self.lease.me(), now.day);
         self.ledger.on_news(&news, now.steady);
         news
@@ -146,7 +148,11 @@
     /// What began in the whole failure domain, and where it is told: at the holder, if that is another
     /// box.
     #[must_use]
-    pub fn domain_news(&self, domain: &DomainId, now: Now) -> Option<(SocketAddr, BeganNews)> {
+    pub fn domain_news(
+        &self,
+        domain: &DomainId,
+        now: Now,
+    ) -> Option<(SocketAddr, UsageCountUpdate)> {
         let holder = self.lease.holder_elsewhere()?;
         let news = self.ledger.domain_news(self.lease.me(), domain, now);
         Some((holder.address, news))
@@ -177,7 +183,7 @@
     }
 
     /// A box told what began there.
-    pub fn on_news(&mut self, news: &BeganNews, now: Micros) {
+    pub fn on_news(&mut self, news: &UsageCountUpdate, now: Micros) {
         self.ledger.on_news(news, now);
     }
 
--- a/src/gateway/dispatch/duty/began.rs
+++ b/src/gateway/dispatch/duty/began.rs
@@ -15,7 +15,7 @@
 use super::{Holder, Now};
 use crate::clock::UnixMillis;
 use crate::schema::{
-    BeganNews, BoxId, DomainId, Incarnation, Micros, OrganisationCount, OrganisationId,
+    BoxId, DomainId, Incarnation, Micros, OrganisationCount, OrganisationId, UsageCountUpdate,
     WindowCounts,
 };
 
@@ -91,7 +91,7 @@
 
     /// The sums of the last windows.
     #[must_use]
-    pub fn news(&self, me: &Holder, day: UnixMillis) -> BeganNews {
+    pub fn news(&self, me: &Holder, day: UnixMillis) -> UsageCountUpdate {
         let current = Window::at(day, self.length);
         let first = Window(current.0.saturating_sub(WINDOWS_TOLD - 1));
         let windows = self.windows.range(first..);
@@ -99,7 +99,7 @@
             window: window.0,
             counts: told_counts(counts),
         });
-        BeganNews {
+        UsageCountUpdate {
             from: me.id.clone(),
             incarnation: me.incarnation,
             of_domain: None,
@@ -161,7 +161,7 @@
 
 impl Ledger {
     /// Takes in what a box told.
-    pub fn on_news(&mut self, news: &BeganNews, now: Micros) {
+    pub fn on_news(&mut self, news: &UsageCountUpdate, now: Micros) {
         self.since.get_or_insert(now);
         let teller = match &news.of_domain {
             Some(domain) => Teller::Domain(domain.clone()),
@@ -199,7 +199,7 @@
     /// The sums over the boxes of this box's failure domain, with the time until which all of them
     /// that are heard have told.
     #[must_use]
-    pub fn domain_news(&self, me: &Holder, domain: &DomainId, now: Now) -> BeganNews {
+    pub fn domain_news(&self, me: &Holder, domain: &DomainId, now: Now) -> UsageCountUpdate {
         let near = self
             .tellers
             .iter()
@@ -220,7 +220,7 @@
                 counts: told_counts(&sums),
             }
         });
-        BeganNews {
+        UsageCountUpdate {
             from: me.id.clone(),
             incarnation: me.incarnation,
             of_domain: Some(domain.clone()),
--- a/src/gateway/dispatch/event.rs
+++ b/src/gateway/dispatch/event.rs
@@ -14,8 +14,8 @@
 use crate::gateway::dispatch::rollout::status::ObjectState;
 use crate::gateway::dispatch::table::RoutingTable;
 use crate::schema::{
-    BeganNews, BoxState, CrashNews, DomainId, DutyHolder, EndpointId, EndpointIncarnation,
-    Fingerprint, LimitUpdate, RequestAge, ServiceId, StartTime, UsageUpdate, VersionId,
+    BoxState, CrashUpdate, DomainId, DutyHolder, EndpointId, EndpointIncarnation, Fingerprint,
+    LimitUpdate, RequestAge, ServiceId, StartTime, UsageCountUpdate, UsageUpdate, VersionId,
 };
 
 /// A request as this box numbers it.
@@ -297,7 +297,7 @@
     /// The time of day, now and then, where a duty asks for it.
     TimeOfDay(UnixMillis),
     /// Another box told how many requests began there.
-    PeerBegan(BeganNews),
+    PeerBegan(UsageCountUpdate),
     /// Another box told who holds the duty.
     PeerHolder(DutyHolder),
     /// The store answered a call that a duty made, or did not.
@@ -323,7 +323,7 @@
         /// Its failure domain, if that is not the own one for sure.
         domain: Option<DomainId>,
         /// What it told.
-        news: CrashNews,
+        news: CrashUpdate,
     },
     /// Another box told of endpoints that name limits.
     PeerLimits(LimitUpdate),
--- a/src/gateway/dispatch/gossip.rs
+++ b/src/gateway/dispatch/gossip.rs
@@ -18,7 +18,9 @@
 use super::fetches::{FetchKind, FetchOutcome};
 use super::peers::Heard;
 use super::store_watchers::{Contact, StoreWatchers};
-use crate::schema::{BoxState, CrashNews, DomainId, EndpointId, Micros, StateRequest, UsageUpdate};
+use crate::schema::{
+    BoxState, CrashUpdate, DomainId, EndpointId, Micros, StateRequest, UsageUpdate,
+};
 
 /// How long losses and versions gather before peers are told.
 const NEWS_PAUSE: Duration = Duration::from_millis(10);
@@ -229,7 +231,7 @@
     }
 
     /// Sends this box's state to others, with what it knows of crashing requests.
-    fn gossip_with(&mut self, to: Vec<SocketAddr>, crashes: &CrashNews) {
+    fn gossip_with(&mut self, to: Vec<SocketAddr>, crashes: &CrashUpdate) {
         let mut by_domain: BTreeMap<DomainId, Vec<SocketAddr>> = BTreeMap::new();
         for address in to {
             let domain = self.peers.domain_at(address).unwrap_or(&self.cfg.domain);
--- a/src/gateway/dispatch/quarantine.rs
+++ b/src/gateway/dispatch/quarantine.rs
@@ -25,8 +25,8 @@
 //! connection that breaks alone is no crash ([`super::crashes`]). Weighed in docs/design/quarantine.md:
 //! counting per box, blaming all that ran, and asking the store.
 
-mod news;
 mod suspect;
+mod updates;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
--- a/src/gateway/dispatch/quarantine/suspect.rs
+++ b/src/gateway/dispatch/quarantine/suspect.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::schema::{CrashNote, EndpointIncarnation, Fingerprint, Micros};
+use crate::schema::{CrashReport, EndpointIncarnation, Fingerprint, Micros};
 
 /// How much longer than before the crash a request must run elsewhere to be past it. A request that
 /// crashes its endpoint does so at the same point each time, a little sooner or later: 34 to 114 ms
@@ -39,7 +39,7 @@
 impl Crash {
     /// What was told of one.
     #[must_use]
-    pub fn told(note: &CrashNote, now: Micros) -> Self {
+    pub fn told(note: &CrashReport, now: Micros) -> Self {
         Self {
             endpoint: note.endpoint.clone(),
             at: now.before(Duration::from_millis(note.age_ms.into())),
@@ -53,8 +53,8 @@
 
     /// What is told of it.
     #[must_use]
-    pub fn note(&self, request: Fingerprint, now: Micros) -> CrashNote {
-        CrashNote {
+    pub fn note(&self, request: Fingerprint, now: Micros) -> CrashReport {
+        CrashReport {
             request,
             endpoint: self.endpoint.clone(),
             age_ms: now.since(self.at).as_millis() as u32,
--- a/src/gateway/dispatch/quarantine/news.rs
+++ b/src/gateway/dispatch/quarantine/updates.rs
@@ -8,7 +8,7 @@
 
 use super::suspect::Crash;
 use super::{CRASHES_KEPT_FOR, MOST_SUSPECTS, Quarantine, Suspect};
-use crate::schema::{CrashNews, CrashNote, Fingerprint, Micros, RequestAge};
+use crate::schema::{CrashReport, CrashUpdate, Fingerprint, Micros, RequestAge};
 
 /// How long after a change a request is told with each state. Over the time in which all of 295
 /// boxes hear of it by itself.
@@ -22,7 +22,7 @@
 impl Quarantine {
     /// Takes in what another box told; returns the requests that are quarantined from now on. News from
     /// another failure domain are passed on in the own one.
-    pub fn on_told(&mut self, news: &CrashNews, is_near: bool, now: Micros) -> Vec<Fingerprint> {
+    pub fn on_told(&mut self, news: &CrashUpdate, is_near: bool, now: Micros) -> Vec<Fingerprint> {
         let mut changed = Vec::new();
         for note in &news.served {
             let at = now.before(Duration::from_millis(note.age_ms.into()));
@@ -81,9 +81,9 @@
 
     /// Takes in what the platform keeps; returns the requests that are quarantined from now on.
     pub fn on_kept(&mut self, kept: &[RequestAge], now: Micros) -> Vec<Fingerprint> {
-        let news = CrashNews {
+        let news = CrashUpdate {
             quarantined: kept.to_vec(),
-            ..CrashNews::default()
+            ..CrashUpdate::default()
         };
         self.on_told(&news, false, now)
     }
@@ -95,8 +95,8 @@
     }
 
     /// What boxes of the own failure domain have not been told, as much as a datagram holds.
-    pub fn take_unpublished(&mut self, now: Micros) -> CrashNews {
-        let mut news = CrashNews::default();
+    pub fn take_unpublished(&mut self, now: Micros) -> CrashUpdate {
+        let mut news = CrashUpdate::default();
         while size(&news) < MOST_CRASHES_TOLD
             && let Some(request) = self.unpublished.pop_first()
         {
@@ -109,8 +109,8 @@
 
     /// What is told with the state of this box: what has changed lately, and one of those that are
     /// quarantined.
-    pub fn news_for_state(&mut self, now: Micros) -> CrashNews {
-        let mut news = CrashNews::default();
+    pub fn news_for_state(&mut self, now: Micros) -> CrashUpdate {
+        let mut news = CrashUpdate::default();
         if self.suspects.is_empty() {
             return news;
         }
@@ -134,16 +134,16 @@
     /// What is quarantined, the latest first and as much as a datagram holds, for a box that has just
     /// started.
     #[must_use]
-    pub fn verdicts(&self, now: Micros) -> CrashNews {
+    pub fn verdicts(&self, now: Micros) -> CrashUpdate {
         let mut quarantined: Vec<_> = self
             .quarantined()
             .map(|(request, since)| request_age(request, since, now))
             .collect();
         quarantined.sort_by_key(|told| told.age_ms);
         quarantined.truncate(MOST_VERDICTS_TOLD);
-        CrashNews {
+        CrashUpdate {
             quarantined,
-            ..CrashNews::default()
+            ..CrashUpdate::default()
         }
     }
 
@@ -157,16 +157,16 @@
     }
 }
 
-fn tell(news: &mut CrashNews, request: Fingerprint, suspect: &Suspect, now: Micros) {
+fn tell(news: &mut CrashUpdate, request: Fingerprint, suspect: &Suspect, now: Micros) {
     let age = |at| request_age(request, at, now);
     let crashes = suspect.crashes.iter();
-    let notes = crashes.map(|crash| -> CrashNote { crash.note(request, now) });
+    let notes = crashes.map(|crash| -> CrashReport { crash.note(request, now) });
     news.crashes.extend(notes);
     news.served.extend(suspect.served.map(age));
     tell_verdict(news, request, suspect, now);
 }
 
-fn tell_verdict(news: &mut CrashNews, request: Fingerprint, suspect: &Suspect, now: Micros) {
+fn tell_verdict(news: &mut CrashUpdate, request: Fingerprint, suspect: &Suspect, now: Micros) {
     let is_told = news.quarantined.iter().any(|told| told.request == request);
     if !is_told {
         let since = suspect.quarantined;
@@ -181,7 +181,7 @@
 }
 
 /// How much of a datagram is taken.
-fn size(news: &CrashNews) -> usize {
+fn size(news: &CrashUpdate) -> usize {
     // The others are half as long.
     let short = news.served.len() + news.quarantined.len();
     news.crashes.len() + short / 2
--- a/src/gateway/shell/datagram.rs
+++ b/src/gateway/shell/datagram.rs
@@ -11,16 +11,17 @@
 
 use crate::gateway::dispatch::event::Event;
 use crate::schema::{
-    BeganNews, BoxId, BoxState, CrashNews, DatagramSection, DutyHolder, LimitUpdate, UsageUpdate,
+    BoxId, BoxState, CrashUpdate, DatagramSection, DutyHolder, LimitUpdate, UsageCountUpdate,
+    UsageUpdate,
 };
 
 /// The first byte of a datagram with a [`BoxState`].
 const STATE: u8 = 5;
 /// The first byte of a datagram with [`UsageUpdate`].
 const USAGE: u8 = 4;
-/// The kind of a section with [`CrashNews`].
+/// The kind of a section with [`CrashUpdate`].
 const CRASHES: u16 = 1;
-/// The kind of a section with [`BeganNews`].
+/// The kind of a section with [`UsageCountUpdate`].
 const BEGAN: u16 = 2;
 /// The kind of a section with a [`DutyHolder`].
 const HOLDER: u16 = 3;
@@ -32,7 +33,7 @@
 /// # Errors
 ///
 /// If it can't be encoded.
-pub fn write_state(state: &BoxState, crashes: &CrashNews) -> Result<Vec<u8>, postcard::Error> {
+pub fn write_state(state: &BoxState, crashes: &CrashUpdate) -> Result<Vec<u8>, postcard::Error> {
     let message = postcard::to_extend(state, vec![STATE])?;
     with_crashes(message, crashes)
 }
@@ -42,7 +43,7 @@
 /// # Errors
 ///
 /// If it can't be encoded.
-pub fn write_usage(news: &UsageUpdate, crashes: &CrashNews) -> Result<Vec<u8>, postcard::Error> {
+pub fn write_usage(news: &UsageUpdate, crashes: &CrashUpdate) -> Result<Vec<u8>, postcard::Error> {
     let message = postcard::to_extend(news, vec![USAGE])?;
     with_crashes(message, crashes)
 }
@@ -67,7 +68,7 @@
 /// # Errors
 ///
 /// If it can't be encoded.
-pub fn write_began(began: &BeganNews) -> Result<Vec<u8>, postcard::Error> {
+pub fn write_began(began: &UsageCountUpdate) -> Result<Vec<u8>, postcard::Error> {
     with_section(telling_nothing(&began.from)?, BEGAN, began)
 }
 
@@ -93,8 +94,8 @@
     postcard::to_extend(&nothing, vec![USAGE])
 }
 
-fn with_crashes(message: Vec<u8>, crashes: &CrashNews) -> Result<Vec<u8>, postcard::Error> {
-    if *crashes == CrashNews::default() {
+fn with_crashes(message: Vec<u8>, crashes: &CrashUpdate) -> Result<Vec<u8>, postcard::Error> {
+    if *crashes == CrashUpdate::default() {
         return Ok(message);
     }
     with_section(message, CRASHES, crashes)
--- a/src/schema/generated.rs
+++ b/src/schema/generated.rs
@@ -246,20 +246,6 @@
             })
     }
 }
-///How many requests began to run at a box, or at all boxes of a failure domain, for those that may report it.
-#[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
-#[serde(deny_unknown_fields)]
-pub struct BeganNews {
-    pub from: BoxId,
-    pub incarnation: Incarnation,
-    ///The failure domain whose sums these are; none for the box's own.
-    #[serde(deserialize_with = "::std::option::Option::deserialize")]
-    pub of_domain: ::std::option::Option<DomainId>,
-    ///The time of day until which all is counted, in milliseconds since 1970.
-    pub until_ms: u64,
-    ///The last windows.
-    pub windows: ::std::vec::Vec<WindowCounts>,
-}
 ///An entry box, unique within the fleet.
 #[derive(::serde::Serialize, Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 #[serde(transparent)]
@@ -532,21 +518,10 @@
     pub name: CallName,
     pub repeatable: bool,
 }
-///What a box knows of requests under which endpoints ended.
-#[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, Default, PartialEq)]
-#[serde(deny_unknown_fields)]
-pub struct CrashNews {
-    ///Lives that ended.
-    pub crashes: ::std::vec::Vec<CrashNote>,
-    ///Requests that are to blame.
-    pub quarantined: ::std::vec::Vec<RequestAge>,
-    ///Requests that were answered, and so are not to blame.
-    pub served: ::std::vec::Vec<RequestAge>,
-}
 ///A life of an endpoint that ended while it ran a request.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
-pub struct CrashNote {
+pub struct CrashReport {
     ///Milliseconds since it ended.
     pub age_ms: u32,
     ///Requests that ran beside it.
@@ -562,6 +537,17 @@
     pub ran_ms: u32,
     pub request: Fingerprint,
 }
+///What a box knows of requests under which endpoints ended.
+#[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, Default, PartialEq)]
+#[serde(deny_unknown_fields)]
+pub struct CrashUpdate {
+    ///Lives that ended.
+    pub crashes: ::std::vec::Vec<CrashReport>,
+    ///Requests that are to blame.
+    pub quarantined: ::std::vec::Vec<RequestAge>,
+    ///Requests that were answered, and so are not to blame.
+    pub served: ::std::vec::Vec<RequestAge>,
+}
 ///A caller's place in an answer.
 #[derive(
     ::serde::Deserialize,
@@ -3253,6 +3239,20 @@
     pub id: KeyId,
     pub public: ::std::string::String,
 }
+///How many requests began to run at a box, or at all boxes of a failure domain, for those that may report it.
+#[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
+#[serde(deny_unknown_fields)]
+pub struct UsageCountUpdate {
+    pub from: BoxId,
+    pub incarnation: Incarnation,
+    ///The failure domain whose sums these are; none for the box's own.
+    #[serde(deserialize_with = "::std::option::Option::deserialize")]
+    pub of_domain: ::std::option::Option<DomainId>,
+    ///The time of day until which all is counted, in milliseconds since 1970.
+    pub until_ms: u64,
+    ///The last windows.
+    pub windows: ::std::vec::Vec<WindowCounts>,
+}
 ///What a box of the gateway has just begun and ended at endpoints, for the boxes of its failure domain.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
--- a/tests/crash_checks.rs
+++ b/tests/crash_checks.rs
@@ -9,7 +9,7 @@
     Arrival, AttemptNumber, Event, Fault, Outcome, RequestNumber,
 };
 use magpiemoor::gateway::dispatch::refusal::RefusalReason;
-use magpiemoor::schema::{CrashNews, EndpointIncarnation, Fingerprint, RequestAge};
+use magpiemoor::schema::{CrashUpdate, EndpointIncarnation, Fingerprint, RequestAge};
 use rstest::rstest;
 
 const BROKEN: Outcome = Outcome::Broken(Fault::Closed);
@@ -177,12 +177,12 @@
     let arrival = again(&mut world, STREAMS, Fingerprint(7));
     let (_, attempt) = world.arrive_as(arrival);
     assert!(attempt.is_some());
-    let news = CrashNews {
+    let news = CrashUpdate {
         quarantined: vec![RequestAge {
             request: fingerprint(7),
             age_ms: 5,
         }],
-        ..CrashNews::default()
+        ..CrashUpdate::default()
     };
     let done = world.handle(Event::PeerCrashes { domain: None, news });
     assert_eq!(refusal(done), Some(RefusalReason::Quarantined));
--- a/tests/datagram.rs
+++ b/tests/datagram.rs
@@ -11,9 +11,9 @@
     read, with_holder, write_began, write_limits, write_state, write_usage,
 };
 use magpiemoor::schema::{
-    BeganNews, BoxState, CrashNews, CrashNote, DatagramSection, DutyHolder, EndpointUsage,
-    Fingerprint, Incarnation, LimitReport, LimitUpdate, OrganisationCount, PermitGrant,
-    PermitRequest, RequestAge, RunningBox, ServiceTotals, UsageUpdate, WindowCounts,
+    BoxState, CrashReport, CrashUpdate, DatagramSection, DutyHolder, EndpointUsage, Fingerprint,
+    Incarnation, LimitReport, LimitUpdate, OrganisationCount, PermitGrant, PermitRequest,
+    RequestAge, RunningBox, ServiceTotals, UsageCountUpdate, UsageUpdate, WindowCounts,
 };
 
 fn production(file: &str) -> Vec<u8> {
@@ -74,13 +74,13 @@
     }
 }
 
-fn crashes() -> CrashNews {
+fn crashes() -> CrashUpdate {
     let age = RequestAge {
         request: Fingerprint(u64::MAX),
         age_ms: 70,
     };
-    CrashNews {
-        crashes: vec![CrashNote {
+    CrashUpdate {
+        crashes: vec![CrashReport {
             request: Fingerprint(5),
             endpoint: "engine-2".parse().unwrap(),
             age_ms: 51,
@@ -109,7 +109,7 @@
     }
 }
 
-fn told(events: &[Event]) -> &CrashNews {
+fn told(events: &[Event]) -> &CrashUpdate {
     match events {
         [_, Event::PeerCrashes { news, .. }] => news,
         other => panic!("{other:?}"),
@@ -140,7 +140,7 @@
 
 #[test]
 fn without_news_of_crashes_the_bytes_are_those_of_the_production_version() {
-    let none = CrashNews::default();
+    let none = CrashUpdate::default();
     assert_eq!(
         write_state(&state(), &none).unwrap(),
         production("state.hex")
@@ -199,8 +199,8 @@
     }
 }
 
-fn began() -> BeganNews {
-    BeganNews {
+fn began() -> UsageCountUpdate {
+    UsageCountUpdate {
         from: "box-1".parse().unwrap(),
         incarnation: Incarnation(77),
         of_domain: Some("north".parse().unwrap()),
@@ -237,7 +237,7 @@
         incarnation: Incarnation(77),
         address: "10.1.0.7:7200".to_owned(),
     };
-    let message = write_state(&state(), &CrashNews::default()).unwrap();
+    let message = write_state(&state(), &CrashUpdate::default()).unwrap();
     let bytes = with_holder(message.clone(), Some(holder.clone())).unwrap();
     let events = read(&bytes).unwrap();
     let [Event::Peer(_), Event::PeerHolder(told)] = &events[..] else {
--- a/tests/duty_counts.rs
+++ b/tests/duty_counts.rs
@@ -14,7 +14,7 @@
 use magpiemoor::gateway::dispatch::action::Action;
 use magpiemoor::gateway::dispatch::duty::DutyPolicy;
 use magpiemoor::gateway::dispatch::event::{Event, Fault, NotRunCause, Outcome};
-use magpiemoor::schema::{BeganNews, BoxState, StoreReader};
+use magpiemoor::schema::{BoxState, StoreReader, UsageCountUpdate};
 
 /// A time of day within a window.
 const DAY: u64 = 1_700_000_001_000;
@@ -35,7 +35,7 @@
 }
 
 /// What the box tells the one that watches the store, a while later.
-fn told(world: &mut World) -> Option<BeganNews> {
+fn told(world: &mut World) -> Option<UsageCountUpdate> {
     world.pass(1_000);
     world.handle(Event::Peer(BoxState {
         readers: vec![StoreReader {
@@ -55,7 +55,7 @@
     })
 }
 
-fn began(news: &BeganNews) -> u64 {
+fn began(news: &UsageCountUpdate) -> u64 {
     let counts = news.windows.iter().flat_map(|window| &window.counts);
     counts.map(|count| count.began).sum()
 }
--- a/tests/quarantine.rs
+++ b/tests/quarantine.rs
@@ -5,7 +5,7 @@
 use magpiemoor::gateway::dispatch::quarantine::{
     CRASHES_KEPT_FOR, Crash, DECIDED_AFTER, Quarantine,
 };
-use magpiemoor::schema::{CrashNews, Fingerprint, Micros};
+use magpiemoor::schema::{CrashUpdate, Fingerprint, Micros};
 use rstest::rstest;
 
 const GUILTY: Fingerprint = Fingerprint(1);
@@ -218,8 +218,8 @@
     assert!(quarantine.known() <= 2_000, "{}", quarantine.known());
 }
 
-fn all_news(quarantine: &mut Quarantine, now: Micros) -> CrashNews {
-    let mut all = CrashNews::default();
+fn all_news(quarantine: &mut Quarantine, now: Micros) -> CrashUpdate {
+    let mut all = CrashUpdate::default();
     while quarantine.has_unpublished() {
         let news = quarantine.take_unpublished(now);
         all.crashes.extend(news.crashes);
@@ -292,8 +292,8 @@
     }
     all_news(&mut other, at(3));
     let late = at(20);
-    assert_eq!(one.news_for_state(late), CrashNews::default());
-    assert_eq!(other.news_for_state(late), CrashNews::default());
+    assert_eq!(one.news_for_state(late), CrashUpdate::default());
+    assert_eq!(other.news_for_state(late), CrashUpdate::default());
 }
 
 #[test]
