--- a/src/gateway/dispatch.rs
+++ b/src/gateway/dispatch.rs
@@ -285,7 +285,7 @@
                 request,
                 attempt,
                 limit,
-            } => self.on_limit_named(request, attempt, limit),
+            } => self.on_limit_in_answer(request, attempt, limit),
             Event::Progress {
                 request,
                 attempt,
@@ -452,7 +452,7 @@
 
     fn on_tick(&mut self) {
         self.settle_crashes();
-        self.tend_limits();
+        self.maintain_limits();
         self.check_requests();
         self.refuse_queued();
         self.check_reach();
--- a/src/gateway/dispatch/attempts.rs
+++ b/src/gateway/dispatch/attempts.rs
@@ -98,7 +98,7 @@
             .choose_ignoring_permits(&self.fleet, demand, self.now);
         let missing = best.filter(|e| !self.may_send_to(e));
         if let Some(id) = missing.map(|e| e.spec.id.clone()) {
-            self.want_permit(&id);
+            self.request_permit(&id);
         }
     }
 
--- a/src/gateway/dispatch/fleet/limits.rs
+++ b/src/gateway/dispatch/fleet/limits.rs
@@ -1,12 +1,13 @@
-//! What endpoints say that they take: a limit of requests a second from all boxes together.
+//! The rate limits that endpoints name: requests a second from all boxes together.
 //!
-//! An endpoint in need names its limit in each answer, and it holds until an answer names another one
-//! or none. What was heard last counts, whoever heard it: boxes tell each other what answers to them
-//! named. An end is remembered for [`END_KEPT`], so that older word of the limit doesn't bring it back.
-//! A request goes to such an endpoint only with a permit, which [`super::super::permits`] gets.
+//! An overloaded endpoint names its limit in each answer. The limit holds until an answer names
+//! another one or none. The latest answer counts, whichever box received it: boxes publish the
+//! limits in answers to them. The end of a limit is remembered for [`END_RETENTION`], so that an
+//! older report doesn't restore it. A request goes to such an endpoint only with a permit
+//! ([`super::super::permits`]).
 //!
-//! Inputs: answers of endpoints to this box, and what other boxes told of theirs. Owns: the limits by the
-//! life of the endpoint that named them, and this box's permits.
+//! Inputs: answers of endpoints to this box, and reports by other boxes of answers to them. State:
+//! the limits, by the incarnation of the endpoint that named them, and this box's permits.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -16,22 +17,22 @@
 use crate::schema::{EndpointId, EndpointIncarnation, LimitReport, Micros};
 
 /// How long a permit can be used: long enough for the next request of a busy box, short enough that
-/// permits of one second don't add up to many of the next.
-pub const PERMIT_FOR: Duration = Duration::from_secs(1);
-/// How long it is remembered that a limit has ended.
-const END_KEPT: Duration = Duration::from_secs(30);
-/// By how much what another box heard must be newer than what this box heard itself: a way between
-/// boxes, by which its age is told too small.
-const TOLD_MARGIN: Duration = Duration::from_millis(50);
-/// How long after an answer boxes are told what it named.
-const NOTED_FOR: Duration = Duration::from_secs(10);
-/// How many endpoints a message is about at most: some 700 bytes.
-const MOST_NOTES: usize = 16;
-
-/// Thousandths of a request.
+/// permits of one second don't add up with those of the next.
+pub const PERMIT_LIFETIME: Duration = Duration::from_secs(1);
+/// How long the end of a limit is remembered.
+const END_RETENTION: Duration = Duration::from_secs(30);
+/// How much newer a peer's report must be than an answer to this box to replace it: the age in a
+/// report is too small by the transit time between boxes.
+const PEER_REPORT_MARGIN: Duration = Duration::from_millis(50);
+/// How long the limit in an answer is published after the answer.
+const PUBLISHED_FOR: Duration = Duration::from_secs(10);
+/// Endpoints in one message: some 700 bytes.
+const MAX_REPORTS: usize = 16;
+
+/// Thousandths in one request.
 const MILLI: f64 = 1_000.0;
 
-/// Requests a second, to a thousandth.
+/// A rate in requests a second, to a thousandth.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct RequestRate {
     milli: u32,
@@ -50,7 +51,7 @@
         self.milli
     }
 
-    /// Requests a second.
+    /// The rate in requests a second.
     #[must_use]
     pub fn per_second(self) -> f64 {
         f64::from(self.milli) / MILLI
@@ -63,7 +64,7 @@
     }
 }
 
-/// A text that is no rate.
+/// The error for a text that is not a rate.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct NoRate {
     text: String,
@@ -102,30 +103,30 @@
     named: BTreeMap<EndpointId, Limit>,
 }
 
-/// What an endpoint names.
+/// The limit of one endpoint.
 #[derive(Clone, Debug)]
 struct Limit {
-    /// The life of the endpoint that named it.
-    life: EndpointIncarnation,
-    /// The limit, or nothing once it has ended.
+    /// The incarnation of the endpoint that named it.
+    incarnation: EndpointIncarnation,
+    /// `None` once the limit has ended.
     rate: Option<RequestRate>,
-    /// Since when this box has known of a limit without a pause.
+    /// Since when this box has known of a limit without interruption.
     since: Micros,
-    /// When an answer last named this, to whichever box.
-    heard: Micros,
-    /// Whether that was an answer to this box.
+    /// When an answer to any box last named this.
+    last_seen: Micros,
+    /// Whether that answer came to this box.
     is_first_hand: bool,
-    /// When this box's permits lapse, the next one last.
+    /// When each of this box's permits lapses; the one to use next is last.
     permits: Vec<Micros>,
 }
 
 impl Limit {
-    fn new(life: EndpointIncarnation, now: Micros) -> Self {
+    fn new(incarnation: EndpointIncarnation, now: Micros) -> Self {
         Self {
-            life,
+            incarnation,
             rate: None,
             since: now,
-            heard: now,
+            last_seen: now,
             is_first_hand: true,
             permits: Vec::new(),
         }
@@ -142,66 +143,66 @@
         self.permits.iter().any(|lapses| now < *lapses)
     }
 
-    /// Whether it says something that must not be forgotten.
-    fn matters(&self, now: Micros) -> bool {
-        self.rate.is_some() || now.since(self.heard) < END_KEPT
+    /// Whether the limit is in force or its end is still remembered.
+    fn is_retained(&self, now: Micros) -> bool {
+        self.rate.is_some() || now.since(self.last_seen) < END_RETENTION
     }
 }
 
 impl Limits {
-    /// Takes in what an answer of an endpoint to this box named; returns whether that is news.
+    /// Applies the limit in an answer to this box; returns whether it changes the limit.
     pub fn on_answer(
         &mut self,
-        life: &EndpointIncarnation,
+        incarnation: &EndpointIncarnation,
         named: Option<RequestRate>,
         now: Micros,
     ) -> bool {
-        if named.is_none() && !self.named.contains_key(&life.id) {
+        if named.is_none() && !self.named.contains_key(&incarnation.id) {
             return false;
         }
-        let limit = self.named.entry(life.id.clone());
-        let limit = limit.or_insert_with(|| Limit::new(life.clone(), now));
-        let is_news = limit.rate != named;
+        let limit = self.named.entry(incarnation.id.clone());
+        let limit = limit.or_insert_with(|| Limit::new(incarnation.clone(), now));
+        let is_changed = limit.rate != named;
         limit.set(named, now);
-        limit.heard = now;
+        limit.last_seen = now;
         limit.is_first_hand = true;
-        is_news
+        is_changed
     }
 
-    /// Takes in what an answer to another box named; returns whether that is news.
-    pub fn on_told(&mut self, note: &LimitReport, now: Micros) -> bool {
-        let rate = note.milli_per_second.map(RequestRate::from_milli);
-        let heard = now.before(Duration::from_millis(note.age_ms.into()));
-        let Some(known) = self.named.get_mut(&note.endpoint.id) else {
-            let is_old = now.since(heard) >= END_KEPT;
+    /// Applies a peer's report of an answer to it; returns whether it changes the limit.
+    pub fn on_peer_report(&mut self, report: &LimitReport, now: Micros) -> bool {
+        let rate = report.milli_per_second.map(RequestRate::from_milli);
+        let last_seen = now.before(Duration::from_millis(report.age_ms.into()));
+        let Some(known) = self.named.get_mut(&report.endpoint.id) else {
+            let is_old = now.since(last_seen) >= END_RETENTION;
             if rate.is_some() && !is_old {
-                let mut limit = Limit::new(note.endpoint.clone(), now);
+                let mut limit = Limit::new(report.endpoint.clone(), now);
                 limit.set(rate, now);
-                limit.heard = heard;
+                limit.last_seen = last_seen;
                 limit.is_first_hand = false;
-                self.named.insert(note.endpoint.id.clone(), limit);
+                self.named.insert(report.endpoint.id.clone(), limit);
             }
             return rate.is_some() && !is_old;
         };
         if known.rate == rate {
-            known.heard = known.heard.max(heard);
+            known.last_seen = known.last_seen.max(last_seen);
             return false;
         }
         let margin = if known.is_first_hand {
-            TOLD_MARGIN
+            PEER_REPORT_MARGIN
         } else {
             Duration::ZERO
         };
-        if heard <= known.heard.after(margin) {
+        if last_seen <= known.last_seen.after(margin) {
             return false;
         }
         known.set(rate, now);
-        known.heard = heard;
+        known.last_seen = last_seen;
         known.is_first_hand = false;
         true
     }
 
-    /// The limit that an endpoint names.
+    /// The limit that an endpoint names, if it is in force.
     #[must_use]
     pub fn of(&self, id: &EndpointId) -> Option<RequestRate> {
         self.named.get(id).and_then(|limit| limit.rate)
@@ -214,20 +215,20 @@
         limit.rate.map(|_| limit.since)
     }
 
-    /// How many endpoints name one.
+    /// How many endpoints have a limit in force.
     #[must_use]
     pub fn count(&self) -> usize {
         self.named.values().filter(|l| l.rate.is_some()).count()
     }
 
-    /// The endpoints that name one.
+    /// The endpoints that have a limit in force.
     #[must_use]
     pub fn in_force(&self) -> Vec<EndpointId> {
         let named = self.named.iter().filter(|(_, l)| l.rate.is_some());
         named.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Whether nothing is known of any limit, in force or ended.
+    /// Whether no limit is known, in force or ended.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.named.is_empty()
@@ -240,19 +241,19 @@
         limit.is_none_or(|limit| limit.rate.is_none() || limit.has_permit(now))
     }
 
-    /// Takes in permits to send requests to an endpoint.
-    pub fn on_granted(&mut self, life: &EndpointIncarnation, permits: u32, now: Micros) {
-        let limit = self.named.get_mut(&life.id);
-        let Some(limit) = limit.filter(|limit| limit.life.may_be(life)) else {
+    /// Adds permits to send requests to an incarnation of an endpoint.
+    pub fn on_granted(&mut self, incarnation: &EndpointIncarnation, permits: u32, now: Micros) {
+        let limit = self.named.get_mut(&incarnation.id);
+        let Some(limit) = limit.filter(|limit| limit.incarnation.may_be(incarnation)) else {
             return;
         };
         limit.permits.retain(|lapses| now < *lapses);
         for _ in 0..permits {
-            limit.permits.insert(0, now.after(PERMIT_FOR));
+            limit.permits.insert(0, now.after(PERMIT_LIFETIME));
         }
     }
 
-    /// Takes the permit for a request that is sent; returns whether one was needed.
+    /// Uses a permit for a request that is sent; returns whether the endpoint names a limit.
     pub fn on_sent(&mut self, id: &EndpointId, now: Micros) -> bool {
         let limit = self.named.get_mut(id);
         let Some(limit) = limit.filter(|limit| limit.rate.is_some()) else {
@@ -263,46 +264,46 @@
         true
     }
 
-    /// What is known of an endpoint, to be told.
+    /// The report of one endpoint's limit for other boxes.
     #[must_use]
-    pub fn note(&self, id: &EndpointId, now: Micros) -> Option<LimitReport> {
-        self.named.get(id).map(|limit| limit_note(limit, now))
+    pub fn report(&self, id: &EndpointId, now: Micros) -> Option<LimitReport> {
+        self.named.get(id).map(|limit| limit_report(limit, now))
     }
 
-    /// What answers to this box named lately, to be told: the newest first.
+    /// Reports of the limits in recent answers to this box, the newest first.
     #[must_use]
-    pub fn notes(&self, now: Micros) -> Vec<LimitReport> {
-        let lately = self.named.values();
-        let lately = lately.filter(|l| l.is_first_hand && now.since(l.heard) < NOTED_FOR);
-        let mut notes: Vec<LimitReport> = lately.map(|limit| limit_note(limit, now)).collect();
-        notes.sort_by_key(|note| note.age_ms);
-        notes.truncate(MOST_NOTES);
-        notes
+    pub fn recent_reports(&self, now: Micros) -> Vec<LimitReport> {
+        let recent = self.named.values();
+        let recent = recent.filter(|l| l.is_first_hand && now.since(l.last_seen) < PUBLISHED_FOR);
+        let mut reports: Vec<LimitReport> = recent.map(|limit| limit_report(limit, now)).collect();
+        reports.sort_by_key(|report| report.age_ms);
+        reports.truncate(MAX_REPORTS);
+        reports
     }
 
-    /// Forgets ends that no older word can undo any more.
-    pub fn settle(&mut self, now: Micros) {
-        self.named.retain(|_, limit| limit.matters(now));
+    /// Forgets limits that ended longer than [`END_RETENTION`] ago.
+    pub fn forget_expired(&mut self, now: Micros) {
+        self.named.retain(|_, limit| limit.is_retained(now));
     }
 
-    /// Forgets what other lives of an endpoint named.
-    pub(super) fn keep_incarnation(&mut self, life: &EndpointIncarnation) {
-        let limit = self.named.get(&life.id);
-        if limit.is_some_and(|limit| !limit.life.may_be(life)) {
-            self.named.remove(&life.id);
+    /// Forgets the limit that an earlier incarnation of the endpoint named.
+    pub(super) fn keep_incarnation(&mut self, incarnation: &EndpointIncarnation) {
+        let limit = self.named.get(&incarnation.id);
+        if limit.is_some_and(|limit| !limit.incarnation.may_be(incarnation)) {
+            self.named.remove(&incarnation.id);
         }
     }
 
-    /// Forgets endpoints that are gone.
+    /// Forgets the limits of endpoints that were removed.
     pub(super) fn retain(&mut self, is_known: impl Fn(&EndpointId) -> bool) {
         self.named.retain(|id, _| is_known(id));
     }
 }
 
-fn limit_note(limit: &Limit, now: Micros) -> LimitReport {
-    let age = now.since(limit.heard).as_millis();
+fn limit_report(limit: &Limit, now: Micros) -> LimitReport {
+    let age = now.since(limit.last_seen).as_millis();
     LimitReport {
-        endpoint: limit.life.clone(),
+        endpoint: limit.incarnation.clone(),
         milli_per_second: limit.rate.map(RequestRate::milli),
         age_ms: u32::try_from(age).unwrap_or(u32::MAX),
     }
--- a/src/gateway/dispatch/gossip.rs
+++ b/src/gateway/dispatch/gossip.rs
@@ -132,7 +132,7 @@
         let to = self.peers.choose(&mut self.rng, self.now);
         if !to.is_empty() {
             self.check_allocators();
-            self.tell_limits(to.clone());
+            self.publish_limits(to.clone());
             self.gossip_state(to);
         }
     }
--- a/src/gateway/dispatch/permits.rs
+++ b/src/gateway/dispatch/permits.rs
@@ -1,13 +1,16 @@
-//! Permits to send requests to endpoints that name a limit.
+//! Permits to send requests to endpoints that name a rate limit.
 //!
-//! One box deals the permits for an endpoint (`dealing`), at the rate that the endpoint names
-//! ([`dealer`]). A box that would choose such an endpoint and has no permit asks the dealer for one and
-//! chooses another endpoint meanwhile; a request that nothing else can take is tried again as soon as a
-//! permit has come. A box of another domain asks any box of the endpoint's, which passes the ask on.
+//! One box, the owner of the limit (`allocation`), allocates the permits of an endpoint at the rate
+//! that the endpoint names ([`allocator`]). A box that would send a request to such an endpoint and
+//! has no permit requests one from the owner and selects another endpoint meanwhile. A request that
+//! no other endpoint can take is retried as soon as a permit arrives. A box of another failure
+//! domain sends its permit request to any box of the endpoint's domain, which forwards it to the
+//! owner.
 //!
-//! Inputs: limits ([`super::fleet::limits`]), the roster, asks and permits by datagrams, which may be lost.
-//! Owns: the dealers of this box, and when it told and asked last. Weighed in docs/design/limits.md: an even share
-//! for each box.
+//! Inputs: limits ([`super::fleet::limits`]), the roster, and permit requests and grants, which
+//! arrive as datagrams and may be lost. State: the allocators of this box, the permit requests that
+//! it has not sent or that are unanswered, and when it last published limits. The alternative, an
+//! even share of the limit for each box, is discussed in docs/design/limits.md.
 
 mod allocation;
 pub mod allocator;
@@ -28,85 +31,88 @@
 use allocation::{HANDOVER, LimitOwner};
 use allocator::{PermitAllocator, PermitRequester};
 
-/// How long an ask for permits of one endpoint may go unanswered before it is repeated.
-const ASK_PAUSE: Duration = Duration::from_millis(40);
-/// The least time between two messages to all boxes of the domain about limits.
-const TELL_PAUSE: Duration = Duration::from_millis(100);
+/// Time without an answer after which the permit request for an endpoint is repeated.
+const PERMIT_REQUEST_INTERVAL: Duration = Duration::from_millis(40);
+/// Minimum time between two messages about limits to all boxes of the domain.
+const LIMIT_PUBLISH_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How many permits were dealt by this box, used by it, and wanted when it had none.
+/// Counts of permits at this box since they were last read.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct PermitCounts {
-    /// Dealt, to this box or others.
+    /// Permits that this box allocated, to itself or to others.
     pub allocated: u64,
-    /// Used for a request.
+    /// Permits that this box used to send a request.
     pub used: u64,
-    /// Wanted when there was none: the request went elsewhere, or waited.
+    /// Times this box had no permit for a request, which then went elsewhere or waited.
     pub wanted: u64,
 }
 
-/// What a box has to do with permits.
+/// The permit state of this box.
 #[derive(Debug, Default)]
 pub(super) struct Permits {
-    dealers: BTreeMap<EndpointId, PermitAllocator>,
-    /// What is wanted of each endpoint and was not asked for, and asks that are not answered.
-    asked: BTreeMap<EndpointId, Asked>,
-    /// Until when this box stood still last.
-    stood_still: Micros,
-    /// Endpoints whose limit has changed by an answer to this box, and when that is to be told.
+    allocators: BTreeMap<EndpointId, PermitAllocator>,
+    /// Permits to request of each endpoint's owner, and requests that are unanswered.
+    requested: BTreeMap<EndpointId, RequestedPermits>,
+    /// When the last pause of this process ended.
+    resumed_at: Micros,
+    /// Endpoints whose limit changed by an answer to this box and was not published yet.
     unpublished: BTreeSet<EndpointId>,
-    tell_at: Option<Micros>,
-    told_at: Micros,
+    publish_at: Option<Micros>,
+    published_at: Micros,
     counts: PermitCounts,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Asked {
+struct RequestedPermits {
+    /// Permits wanted since the last request was sent.
     wanted: u32,
-    at: Option<Micros>,
+    /// When the unanswered request was sent.
+    sent_at: Option<Micros>,
 }
 
 impl Permits {
-    /// When something is to be dealt or told.
+    /// When permits can be allocated or limits must be published next.
     pub fn due(&self, rate_of: impl Fn(&EndpointId) -> Option<RequestRate>) -> Option<Micros> {
-        let dealers = self.dealers.iter();
-        let dealt = dealers.filter_map(|(id, dealer)| dealer.due(rate_of(id)?));
-        dealt.chain(self.tell_at).min()
+        let allocators = self.allocators.iter();
+        let allocations = allocators.filter_map(|(id, allocator)| allocator.due(rate_of(id)?));
+        allocations.chain(self.publish_at).min()
     }
 
-    /// Notes that this box stood still until now: another one may have taken its place.
+    /// Handles a pause of this process that ends now: another box may have become the owner of its
+    /// limits, so nothing is allocated for [`HANDOVER`].
     pub fn on_process_pause(&mut self, now: Micros) {
-        self.stood_still = now;
-        for dealer in self.dealers.values_mut() {
-            dealer.pause_until(now.after(HANDOVER));
+        self.resumed_at = now;
+        for allocator in self.allocators.values_mut() {
+            allocator.pause_until(now.after(HANDOVER));
         }
     }
 }
 
 impl Dispatcher {
-    /// Takes in what the endpoint of an attempt says that it takes.
-    pub(super) fn on_limit_named(
+    /// Handles the limit that the endpoint of an attempt named in its answer, or that it named none.
+    pub(super) fn on_limit_in_answer(
         &mut self,
         number: RequestNumber,
         attempt: AttemptNumber,
         limit: Option<RequestRate>,
     ) {
         let request = self.with_active(number, attempt);
-        let Some(life) = request.and_then(|r| Some(r.active.as_ref()?.endpoint.clone())) else {
+        let Some(incarnation) = request.and_then(|r| Some(r.active.as_ref()?.endpoint.clone()))
+        else {
             return;
         };
         let now = self.now;
-        if self.fleet.get_incarnation(&life).is_some()
-            && self.fleet.limits.on_answer(&life, limit, now)
-        {
-            self.on_limit_changed(&life.id);
-            self.permits.unpublished.insert(life.id);
-            let due = now.max(self.permits.told_at.after(TELL_PAUSE));
-            self.permits.tell_at.get_or_insert(due);
-            self.tell_limits_if_due();
+        let is_current = self.fleet.get_incarnation(&incarnation).is_some();
+        if is_current && self.fleet.limits.on_answer(&incarnation, limit, now) {
+            self.on_limit_changed(&incarnation.id);
+            self.permits.unpublished.insert(incarnation.id);
+            let due = now.max(self.permits.published_at.after(LIMIT_PUBLISH_INTERVAL));
+            self.permits.publish_at.get_or_insert(due);
+            self.publish_limits_if_due();
         }
     }
 
-    /// Notes that an endpoint names another limit than before, or none any more.
+    /// Handles a limit of an endpoint that changed or ended.
     fn on_limit_changed(&mut self, endpoint: &EndpointId) {
         let limit = self.fleet.limits.of(endpoint);
         if limit.is_some() {
@@ -118,40 +124,44 @@
         });
     }
 
-    /// Tells all boxes of the own failure domain of limits that have changed, if that is due.
-    fn tell_limits_if_due(&mut self) {
-        if self.permits.tell_at.is_none_or(|at| self.now < at) {
+    /// Publishes changed limits to all boxes of the own failure domain, if that is due.
+    fn publish_limits_if_due(&mut self) {
+        if self.permits.publish_at.is_none_or(|at| self.now < at) {
             return;
         }
-        self.permits.tell_at = None;
-        self.permits.told_at = self.now;
+        self.permits.publish_at = None;
+        self.permits.published_at = self.now;
         let unpublished = std::mem::take(&mut self.permits.unpublished);
-        let notes = unpublished
+        let reports = unpublished
             .iter()
-            .filter_map(|id| self.fleet.limits.note(id, self.now));
-        let notes = notes.collect();
+            .filter_map(|id| self.fleet.limits.report(id, self.now));
+        let reports = reports.collect();
         let to = self.peers.of_own_domain(self.now);
-        self.tell_notes(to, notes);
+        self.publish_limit_reports(to, reports);
     }
 
-    /// Tells boxes what answers to this one named lately.
-    pub(super) fn tell_limits(&mut self, to: Vec<SocketAddr>) {
-        let notes = self.fleet.limits.notes(self.now);
-        self.tell_notes(to, notes);
+    /// Sends boxes the limits that recent answers to this box named.
+    pub(super) fn publish_limits(&mut self, to: Vec<SocketAddr>) {
+        let reports = self.fleet.limits.recent_reports(self.now);
+        self.publish_limit_reports(to, reports);
     }
 
-    fn tell_notes(&mut self, to: Vec<SocketAddr>, notes: Vec<LimitReport>) {
+    fn publish_limit_reports(&mut self, to: Vec<SocketAddr>, notes: Vec<LimitReport>) {
         if notes.is_empty() || to.is_empty() {
             return;
         }
-        let news = LimitUpdate {
+        let update = LimitUpdate {
             notes,
-            ..self.no_limit_news()
+            ..self.empty_limit_update()
         };
-        self.actions.push(Action::TellLimits { to, news });
+        self.send_limit_update(to, update);
+    }
+
+    fn send_limit_update(&mut self, to: Vec<SocketAddr>, update: LimitUpdate) {
+        self.actions.push(Action::TellLimits { to, news: update });
     }
 
-    fn no_limit_news(&self) -> LimitUpdate {
+    fn empty_limit_update(&self) -> LimitUpdate {
         LimitUpdate {
             from: self.cfg.me.clone(),
             reply_to: self.cfg.address.to_string(),
@@ -162,84 +172,83 @@
         }
     }
 
-    /// Takes in what another box tells of limits and permits.
-    pub(super) fn on_peer_limits(&mut self, news: &LimitUpdate) {
-        for note in &news.notes {
-            self.on_limit_note(note);
+    /// Handles limits, permit requests and grants from another box.
+    pub(super) fn on_peer_limits(&mut self, update: &LimitUpdate) {
+        for report in &update.notes {
+            self.on_limit_report(report);
         }
-        for ask in &news.asks {
-            self.on_permit_ask(ask, news);
+        for request in &update.asks {
+            self.on_permit_request(request, update);
         }
-        for grant in &news.grants {
+        for grant in &update.grants {
             let now = self.now;
             self.fleet
                 .limits
                 .on_granted(&grant.endpoint, grant.permits, now);
-            if let Some(asked) = self.permits.asked.get_mut(&grant.endpoint.id) {
-                asked.at = None;
+            if let Some(requested) = self.permits.requested.get_mut(&grant.endpoint.id) {
+                requested.sent_at = None;
             }
-            self.wake_waiting(&grant.endpoint);
+            self.retry_waiting(&grant.endpoint);
         }
     }
 
-    fn on_limit_note(&mut self, note: &LimitReport) {
-        let is_living = self.fleet.get_incarnation(&note.endpoint).is_some();
-        if is_living && self.fleet.limits.on_told(note, self.now) {
-            self.on_limit_changed(&note.endpoint.id);
+    fn on_limit_report(&mut self, report: &LimitReport) {
+        let is_current = self.fleet.get_incarnation(&report.endpoint).is_some();
+        if is_current && self.fleet.limits.on_peer_report(report, self.now) {
+            self.on_limit_changed(&report.endpoint.id);
         }
     }
 
-    /// A box asks for permits: this one deals them, or passes the ask on.
-    fn on_permit_ask(&mut self, ask: &PermitRequest, news: &LimitUpdate) {
-        // An address that can't be read gets nothing; the next ask may hold a better one.
-        let Ok(reply_to) = news.reply_to.parse() else {
+    /// Handles a permit request of another box: allocates permits if this box owns the limit, else
+    /// forwards the request to the owner, once.
+    fn on_permit_request(&mut self, request: &PermitRequest, update: &LimitUpdate) {
+        // A request whose reply address can't be parsed is dropped; the requester repeats it.
+        let Ok(reply_to) = update.reply_to.parse() else {
             return;
         };
-        if self.fleet.get_incarnation(&ask.endpoint).is_none() {
+        if self.fleet.get_incarnation(&request.endpoint).is_none() {
             return;
         }
-        let id = &ask.endpoint.id;
+        let id = &request.endpoint.id;
         match self.limit_owner(id) {
             Some(LimitOwner::ThisBox) if self.fleet.limits.of(id).is_none() => {
-                self.tell_no_limit(id, reply_to);
+                self.reply_without_limit(id, reply_to);
             }
             Some(LimitOwner::ThisBox) => {
-                let wanted = ask.wanted;
-                self.ask_own_dealer(id, PermitRequester { reply_to, wanted });
+                let wanted = request.wanted;
+                self.request_from_own_allocator(id, PermitRequester { reply_to, wanted });
             }
-            Some(LimitOwner::Local(dealer)) if !news.is_passed_on => {
-                let news = LimitUpdate {
+            Some(LimitOwner::Local(owner)) if !update.is_passed_on => {
+                let update = LimitUpdate {
                     is_passed_on: true,
                     grants: Vec::new(),
-                    ..news.clone()
+                    ..update.clone()
                 };
-                let to = vec![dealer];
-                self.actions.push(Action::TellLimits { to, news });
+                self.send_limit_update(vec![owner], update);
             }
             _ => {}
         }
     }
 
-    /// Tells a box that asks for a permit that none is needed.
-    fn tell_no_limit(&mut self, id: &EndpointId, to: SocketAddr) {
-        let note = self.fleet.limits.note(id, self.now);
-        if let Some(note) = note {
-            let news = LimitUpdate {
-                notes: vec![note],
-                ..self.no_limit_news()
+    /// Tells a box that requests a permit that the endpoint names no limit any more.
+    fn reply_without_limit(&mut self, id: &EndpointId, to: SocketAddr) {
+        let report = self.fleet.limits.report(id, self.now);
+        if let Some(report) = report {
+            let update = LimitUpdate {
+                notes: vec![report],
+                ..self.empty_limit_update()
             };
-            let to = vec![to];
-            self.actions.push(Action::TellLimits { to, news });
+            self.send_limit_update(vec![to], update);
         }
     }
 
-    /// Asks for a permit for an endpoint that a request would go to.
-    pub(super) fn want_permit(&mut self, id: &EndpointId) {
+    /// Requests a permit for an endpoint that a request would be sent to.
+    pub(super) fn request_permit(&mut self, id: &EndpointId) {
         self.permits.counts.wanted += 1;
         match self.limit_owner(id) {
             Some(LimitOwner::ThisBox) => {
                 let reply_to = self.cfg.address;
-                self.ask_own_dealer(
+                self.request_from_own_allocator(
                     id,
                     PermitRequester {
                         reply_to,
@@ -247,86 +256,86 @@
                     },
                 );
             }
-            Some(LimitOwner::Local(to) | LimitOwner::Remote(to)) => self.ask_for_permits(id, to),
+            Some(LimitOwner::Local(to) | LimitOwner::Remote(to)) => {
+                self.request_from_peer(id, to);
+            }
             None => {}
         }
     }
 
-    fn ask_for_permits(&mut self, id: &EndpointId, to: SocketAddr) {
+    fn request_from_peer(&mut self, id: &EndpointId, to: SocketAddr) {
         let now = self.now;
-        let asked = self.permits.asked.entry(id.clone()).or_default();
-        asked.wanted += 1;
-        if asked.at.is_some_and(|at| now.since(at) < ASK_PAUSE) {
+        let requested = self.permits.requested.entry(id.clone()).or_default();
+        requested.wanted += 1;
+        let sent_at = requested.sent_at;
+        if sent_at.is_some_and(|at| now.since(at) < PERMIT_REQUEST_INTERVAL) {
             return;
         }
-        asked.at = Some(now);
-        let wanted = std::mem::take(&mut asked.wanted);
-        let Some(note) = self.fleet.limits.note(id, now) else {
+        requested.sent_at = Some(now);
+        let wanted = std::mem::take(&mut requested.wanted);
+        let Some(report) = self.fleet.limits.report(id, now) else {
             return;
         };
-        let ask = PermitRequest {
-            endpoint: note.endpoint.clone(),
+        let request = PermitRequest {
+            endpoint: report.endpoint.clone(),
             wanted,
         };
-        let news = LimitUpdate {
-            notes: vec![note],
-            asks: vec![ask],
-            ..self.no_limit_news()
+        let update = LimitUpdate {
+            notes: vec![report],
+            asks: vec![request],
+            ..self.empty_limit_update()
         };
-        let to = vec![to];
-        self.actions.push(Action::TellLimits { to, news });
+        self.send_limit_update(vec![to], update);
     }
 
-    /// Notes an ask at this box, which deals the permits, and deals what has accrued.
-    fn ask_own_dealer(&mut self, id: &EndpointId, asker: PermitRequester) {
+    /// Adds a permit request to this box's own allocator and allocates the permits that are available.
+    fn request_from_own_allocator(&mut self, id: &EndpointId, requester: PermitRequester) {
         self.start_allocating(id);
-        if let Some(dealer) = self.permits.dealers.get_mut(id) {
-            dealer.on_ask(asker, self.now);
+        if let Some(allocator) = self.permits.allocators.get_mut(id) {
+            allocator.on_request(requester, self.now);
         }
-        self.deal_permits(id);
+        self.allocate_permits(id);
     }
 
-    fn deal_permits(&mut self, id: &EndpointId) {
+    fn allocate_permits(&mut self, id: &EndpointId) {
         let Some(rate) = self.fleet.limits.of(id) else {
             return;
         };
         let Some(endpoint) = self.fleet.get(id).map(|e| e.spec.incarnation()) else {
             return;
         };
-        let Some(dealer) = self.permits.dealers.get_mut(id) else {
+        let Some(allocator) = self.permits.allocators.get_mut(id) else {
             return;
         };
-        for dealt in dealer.allocate(rate, self.now) {
-            self.permits.counts.allocated += u64::from(dealt.wanted);
-            self.grant(&endpoint, dealt);
+        for allocated in allocator.allocate(rate, self.now) {
+            self.permits.counts.allocated += u64::from(allocated.wanted);
+            self.grant(&endpoint, allocated);
         }
     }
 
-    fn grant(&mut self, endpoint: &EndpointIncarnation, dealt: PermitRequester) {
-        if dealt.reply_to == self.cfg.address {
+    fn grant(&mut self, endpoint: &EndpointIncarnation, allocated: PermitRequester) {
+        if allocated.reply_to == self.cfg.address {
             let now = self.now;
-            self.fleet.limits.on_granted(endpoint, dealt.wanted, now);
+            self.fleet
+                .limits
+                .on_granted(endpoint, allocated.wanted, now);
             return;
         }
         let grant = PermitGrant {
             endpoint: endpoint.clone(),
-            permits: dealt.wanted,
+            permits: allocated.wanted,
         };
-        let news = LimitUpdate {
+        let update = LimitUpdate {
             grants: vec![grant],
-            ..self.no_limit_news()
+            ..self.empty_limit_update()
         };
-        let to = vec![dealt.reply_to];
-        self.actions.push(Action::TellLimits { to, news });
+        self.send_limit_update(vec![allocated.reply_to], update);
     }
 
-    /// Has requests look for an endpoint again that wait for one of this service.
-    fn wake_waiting(&mut self, endpoint: &EndpointIncarnation) {
-        let Some(service) = self
-            .fleet
-            .get_incarnation(endpoint)
-            .map(|e| e.spec.service.clone())
-        else {
+    /// Retries the requests of the endpoint's service that wait for an endpoint, while permits last.
+    fn retry_waiting(&mut self, endpoint: &EndpointIncarnation) {
+        let current = self.fleet.get_incarnation(endpoint);
+        let Some(service) = current.map(|e| e.spec.service.clone()) else {
             return;
         };
         let waiting = self.requests.iter();
@@ -343,34 +352,34 @@
         }
     }
 
-    /// Deals, tells and forgets what is due.
-    pub(super) fn tend_limits(&mut self) {
-        self.tell_limits_if_due();
-        if self.fleet.limits.is_empty() && self.permits.dealers.is_empty() {
+    /// Publishes changed limits, allocates permits and forgets ended limits, as far as due.
+    pub(super) fn maintain_limits(&mut self) {
+        self.publish_limits_if_due();
+        if self.fleet.limits.is_empty() && self.permits.allocators.is_empty() {
             return;
         }
-        self.fleet.limits.settle(self.now);
-        let dealers: Vec<EndpointId> = self.permits.dealers.keys().cloned().collect();
-        for id in dealers {
+        self.fleet.limits.forget_expired(self.now);
+        let allocators: Vec<EndpointId> = self.permits.allocators.keys().cloned().collect();
+        for id in allocators {
             let own = EndpointIncarnation::from(id.clone());
-            self.deal_permits(&id);
-            self.wake_waiting(&own);
+            self.allocate_permits(&id);
+            self.retry_waiting(&own);
         }
     }
 
-    /// Notes that a request is sent to an endpoint, with a permit if it names a limit.
+    /// Takes the permit for a request that is sent to an endpoint, if the endpoint names a limit.
     pub(super) fn use_permit(&mut self, id: &EndpointId) {
         if self.fleet.limits.on_sent(id, self.now) {
             self.permits.counts.used += 1;
         }
     }
 
-    /// Whether a request may be sent to an endpoint.
+    /// Whether the endpoint names no limit or this box holds a permit for it.
     pub(super) fn may_send_to(&self, endpoint: &Endpoint) -> bool {
         self.fleet.limits.may_send(&endpoint.spec.id, self.now)
     }
 
-    /// The counts since this was asked last.
+    /// Returns the counts and resets them.
     pub fn take_permit_counts(&mut self) -> PermitCounts {
         std::mem::take(&mut self.permits.counts)
     }
--- a/src/gateway/dispatch/permits/allocation.rs
+++ b/src/gateway/dispatch/permits/allocation.rs
@@ -1,12 +1,14 @@
-//! Which box deals the permits for an endpoint, and from when on.
+//! Which box owns the limit of an endpoint, and when it may start to allocate permits.
 //!
-//! Of the boxes that run in the endpoint's failure domain the one that comes first by rendezvous hash; where
-//! none runs there, one of another domain, chosen alike. Boxes that don't agree who runs may take two
-//! for it, so whoever becomes it deals nothing for [`HANDOVER`]: by then the one before knows, or counts
-//! as lost. Where a limit has only just been named nobody has dealt before, and only what came to the endpoint
-//! lately has to leave the window ([`backlog_pause`]).
+//! The owner is the box with the highest rendezvous hash among those that run in the endpoint's
+//! failure domain. Where no box runs there, the boxes of another domain, selected by the same hash,
+//! own the limit. Boxes that disagree about which boxes run may see two owners, so a new owner
+//! allocates nothing for [`HANDOVER`]: by then the previous owner knows of the change, or counts as
+//! lost. No box can have allocated permits for a limit that was first named less than [`NEW_LIMIT_PERIOD`]
+//! ago. In that case the owner waits only until the requests that came to the endpoint before leave
+//! room in the window over which its requests are counted ([`backlog_pause`]).
 //!
-//! Inputs: the roster, limits, what came to endpoints lately, as of now.
+//! Inputs: the roster, the limits and the recent load of endpoints, as of now.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,67 +19,72 @@
 use crate::rendezvous;
 use crate::schema::{DomainId, EndpointId, Micros};
 
-/// How long a box that becomes the dealer of an endpoint deals nothing: until the one before counts as lost
-/// at all boxes, and its last permits have lapsed.
+/// How long a new owner allocates nothing: until the previous owner counts as lost at all boxes and
+/// its last permits have lapsed.
 pub(super) const HANDOVER: Duration = Duration::from_secs(4);
-/// How long after a limit was named for the first time nobody can have dealt permits for it.
-const JUST_NAMED: Duration = Duration::from_secs(1);
-/// The span over which users count requests, the longest pause for what came before.
-const COUNTED_FOR: Duration = Duration::from_secs(4);
-/// What is left of an endpoint's limit in that span for what came to it before it was named, in seconds of
-/// the limit, and beside.
-const LEFT_FOR_BACKLOG: Duration = Duration::from_secs(3);
-const LEFT_BESIDE: f64 = 2.0;
-/// Who deals the permits for an endpoint.
+/// Time after the first report of a limit in which no other box can have allocated permits for it.
+const NEW_LIMIT_PERIOD: Duration = Duration::from_secs(1);
+/// Window over which the requests at an endpoint are counted against its limit; the longest pause
+/// for the backlog.
+const LIMIT_WINDOW: Duration = Duration::from_secs(4);
+/// Part of that window that requests from before the limit was named may fill, in seconds of the
+/// limit.
+const BACKLOG_ALLOWANCE: Duration = Duration::from_secs(3);
+/// Requests that may come from before the limit was named, in addition to [`BACKLOG_ALLOWANCE`].
+const BACKLOG_EXTRA: f64 = 2.0;
+
+/// The owner of the limit of an endpoint.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(in crate::gateway::dispatch) enum LimitOwner {
     /// This box.
     ThisBox,
     /// Another box of this failure domain.
     Local(SocketAddr),
-    /// A box of another failure domain, known to any box there, such as this one.
+    /// Some box of the failure domain that owns the limit; it forwards requests to the owner.
     Remote(SocketAddr),
 }
 
-/// How long nothing is dealt for an endpoint that has just named a limit, to which so many requests came
-/// in a second, by what this box knows: until they leave room for as much as it takes, were they more by
-/// twice what such a number varies by.
+/// How long no permits are allocated for an endpoint that has just named a limit, if `came` requests
+/// a second are known to have come to it: until the backlog above the allowance has been worked off
+/// at the limit. The backlog counts as two standard deviations larger than known.
 fn backlog_pause(rate: RequestRate, came: f64) -> Duration {
     let rate = rate.per_second();
-    let left = rate * LEFT_FOR_BACKLOG.as_secs_f64() + LEFT_BESIDE;
-    let over = (came + 2.0 * came.sqrt() - left).max(0.0);
-    let pause = over / rate.max(f64::MIN_POSITIVE);
-    Duration::from_secs_f64(pause.min(COUNTED_FOR.as_secs_f64()))
+    let allowance = rate * BACKLOG_ALLOWANCE.as_secs_f64() + BACKLOG_EXTRA;
+    let excess = (came + 2.0 * came.sqrt() - allowance).max(0.0);
+    let pause = excess / rate.max(f64::MIN_POSITIVE);
+    Duration::from_secs_f64(pause.min(LIMIT_WINDOW.as_secs_f64()))
 }
 
 impl Dispatcher {
-    /// Takes up the dealing that is this box's, and ceases where an endpoint names no limit any more or
-    /// another box deals.
+    /// Starts an allocator for each limit that this box owns, and drops those of limits that ended or
+    /// that another box owns.
     pub(in crate::gateway::dispatch) fn check_allocators(&mut self) {
         for id in self.fleet.limits.in_force() {
             self.start_allocating(&id);
         }
-        let dealers: Vec<EndpointId> = self.permits.dealers.keys().cloned().collect();
-        for id in dealers {
+        let allocators: Vec<EndpointId> = self.permits.allocators.keys().cloned().collect();
+        for id in allocators {
             let is_limited = self.fleet.limits.of(&id).is_some();
             if !is_limited || self.limit_owner(&id) != Some(LimitOwner::ThisBox) {
-                self.permits.dealers.remove(&id);
+                self.permits.allocators.remove(&id);
             }
         }
         let limits = &self.fleet.limits;
-        self.permits.asked.retain(|id, _| limits.of(id).is_some());
+        self.permits
+            .requested
+            .retain(|id, _| limits.of(id).is_some());
     }
 
-    /// Which box deals the permits for an endpoint, if any can be reached.
+    /// The owner of the limit of an endpoint, if the endpoint and a box to contact are known.
     pub(in crate::gateway::dispatch) fn limit_owner(
         &mut self,
         id: &EndpointId,
     ) -> Option<LimitOwner> {
         let domain = &self.fleet.get(id)?.spec.domain;
-        let home = self.dealing_domain(domain, id);
-        if home != self.cfg.domain {
-            let far = self.peers.some_in(&home, &mut self.rng, self.now);
-            return far.map(LimitOwner::Remote);
+        let owner_domain = self.owner_domain(domain, id);
+        if owner_domain != self.cfg.domain {
+            let remote = self.peers.some_in(&owner_domain, &mut self.rng, self.now);
+            return remote.map(LimitOwner::Remote);
         }
         let item = rendezvous::item(id);
         let score = |address: &SocketAddr| rendezvous::score(&address.to_string(), item);
@@ -91,8 +98,9 @@
         })
     }
 
-    /// The failure domain whose boxes deal: that of the endpoint, or another one if no box runs there.
-    fn dealing_domain(&self, of_endpoint: &DomainId, id: &EndpointId) -> DomainId {
+    /// The failure domain whose boxes own the limit: that of the endpoint, or another one by rendezvous
+    /// hash if no box runs there.
+    fn owner_domain(&self, of_endpoint: &DomainId, id: &EndpointId) -> DomainId {
         let mut domains = self.peers.roster().other_domains();
         domains.push(self.cfg.domain.clone());
         if domains.contains(of_endpoint) {
@@ -105,16 +113,16 @@
         first.unwrap_or_else(|| self.cfg.domain.clone())
     }
 
-    /// When this box may begin to deal permits for an endpoint.
-    fn dealing_starts(&self, id: &EndpointId) -> Micros {
+    /// When this box, as a new owner, may start to allocate permits for an endpoint.
+    fn allocation_start(&self, id: &EndpointId) -> Micros {
         let now = self.now;
         let after_handover = now.after(HANDOVER);
-        let settled = self.started.max(self.permits.stood_still).after(HANDOVER);
+        let settled = self.started.max(self.permits.resumed_at).after(HANDOVER);
         let named = self.fleet.limits.since(id).zip(self.fleet.limits.of(id));
         let Some((since, rate)) = named else {
             return after_handover;
         };
-        if now < settled || now.since(since) >= JUST_NAMED {
+        if now < settled || now.since(since) >= NEW_LIMIT_PERIOD {
             return after_handover;
         }
         let came = self.fleet.get(id).map_or(0.0, |e| {
@@ -124,13 +132,13 @@
         now.after(backlog_pause(rate, came))
     }
 
-    /// Takes the dealing for an endpoint up, if it is this box's.
+    /// Starts an allocator for an endpoint if this box owns its limit and has none yet.
     pub(in crate::gateway::dispatch) fn start_allocating(&mut self, id: &EndpointId) {
-        let is_new = !self.permits.dealers.contains_key(id);
+        let is_new = !self.permits.allocators.contains_key(id);
         if is_new && self.limit_owner(id) == Some(LimitOwner::ThisBox) {
-            let starts = self.dealing_starts(id);
+            let starts = self.allocation_start(id);
             self.permits
-                .dealers
+                .allocators
                 .insert(id.clone(), PermitAllocator::new(starts));
         }
     }
--- a/src/gateway/dispatch/permits/allocator.rs
+++ b/src/gateway/dispatch/permits/allocator.rs
@@ -1,11 +1,11 @@
-//! How the box that deals permits for an endpoint deals them.
+//! The token bucket from which the owner of a limit allocates permits.
 //!
-//! Permits accrue at the rate that the endpoint names and go to whoever asked last: the request that one
-//! is asked for waits only a moment, or goes elsewhere. Beyond [`most_saved`] they don't accrue. Nothing is
-//! dealt before [`PermitAllocator::starts`].
+//! Permits accrue at the rate that the endpoint names, up to [`burst`]. They go to the latest
+//! requester first: the request that a permit is for waits only a moment, or goes elsewhere. Nothing
+//! is allocated before [`PermitAllocator::starts`].
 //!
-//! Inputs: asks, the rate, the time. Weighed: the ask that waits longest first (permits then reach boxes
-//! whose request has gone elsewhere).
+//! Inputs: permit requests, the rate, the time. The alternative, to serve the oldest request first,
+//! gives permits to boxes whose request has gone elsewhere.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,124 +13,132 @@
 use crate::gateway::dispatch::fleet::limits::RequestRate;
 use crate::schema::Micros;
 
-/// How long an ask is kept: a request that nobody else can take waits about as long.
-const ASK_KEPT: Duration = Duration::from_millis(150);
-/// How many boxes may wait for permits of one endpoint; those that asked first give way.
-const MOST_ASKING: usize = 64;
-/// How many permits one ask is for at most.
-const MOST_WANTED: u32 = 32;
-/// The rate at which an endpoint is asked whether its limit has ended, whatever it names: one request in
-/// twenty seconds.
-const LEAST_RATE: f64 = 0.05;
-/// How many permits are saved at most, in seconds of the rate, and in any case.
-const SAVED_FOR: Duration = Duration::from_millis(250);
-const MOST_SAVED_SLOW: f64 = 2.0;
+/// How long a permit request is kept: about as long as a request waits that no other endpoint can
+/// take.
+const REQUEST_LIFETIME: Duration = Duration::from_millis(150);
+/// Boxes that may wait for permits of one endpoint; beyond it the oldest request is dropped.
+const MAX_PENDING_REQUESTS: usize = 64;
+/// Permits that one permit request may ask for.
+const MAX_PERMITS_PER_REQUEST: u32 = 32;
+/// Requests a second at which permits accrue at least, even if the endpoint names a limit of 0: one
+/// request in 20 s finds out whether the limit has ended.
+const MIN_RATE: f64 = 0.05;
+/// Burst of a fast endpoint, in seconds of its rate.
+const BURST_TIME: Duration = Duration::from_millis(250);
+/// Burst of a slow endpoint in permits: its rate, between 1 and this.
+const MAX_SLOW_BURST: f64 = 2.0;
 
-/// Who asks for permits.
+/// A box that requests permits, and how many.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct PermitRequester {
-    /// Where permits go.
+    /// The address to which permits are sent.
     pub reply_to: SocketAddr,
-    /// How many are wanted.
+    /// Permits that are requested, or allocated to it.
     pub wanted: u32,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Ask {
-    asker: PermitRequester,
+struct PendingRequest {
+    requester: PermitRequester,
     at: Micros,
 }
 
-/// Deals the permits for one endpoint.
+/// Allocates the permits for one endpoint.
 #[derive(Clone, Debug)]
 pub struct PermitAllocator {
     starts: Micros,
-    saved: f64,
-    reckoned: Micros,
-    /// The latest ask last.
-    asks: Vec<Ask>,
+    /// Permits in the token bucket.
+    available: f64,
+    /// When `available` was last updated.
+    refilled_at: Micros,
+    /// Permit requests in the order in which they are served, the next one last.
+    pending: Vec<PendingRequest>,
 }
 
-/// How many permits are saved at most.
-fn most_saved(rate: f64) -> f64 {
-    let slow = rate.clamp(1.0, MOST_SAVED_SLOW);
-    slow.max(rate * SAVED_FOR.as_secs_f64())
+/// The size of the token bucket, in permits.
+fn burst(rate: f64) -> f64 {
+    let slow = rate.clamp(1.0, MAX_SLOW_BURST);
+    slow.max(rate * BURST_TIME.as_secs_f64())
 }
 
 impl PermitAllocator {
-    /// A dealer that has saved nothing and deals nothing before `starts`.
+    /// An allocator with an empty bucket that allocates nothing before `starts`.
     #[must_use]
     pub fn new(starts: Micros) -> Self {
         Self {
             starts,
-            saved: 0.0,
-            reckoned: starts,
-            asks: Vec::new(),
+            available: 0.0,
+            refilled_at: starts,
+            pending: Vec::new(),
         }
     }
 
-    /// Has nothing dealt before a time.
+    /// Empties the bucket and allocates nothing before `starts`.
     pub fn pause_until(&mut self, starts: Micros) {
         self.starts = self.starts.max(starts);
-        self.reckoned = self.reckoned.max(starts);
-        self.saved = 0.0;
+        self.refilled_at = self.refilled_at.max(starts);
+        self.available = 0.0;
     }
 
-    /// Takes in an ask.
-    pub fn on_ask(&mut self, asker: PermitRequester, now: Micros) {
-        self.asks
-            .retain(|ask| ask.asker.reply_to != asker.reply_to && is_kept(ask, now));
-        if self.asks.len() >= MOST_ASKING {
-            self.asks.remove(0);
+    /// Adds a permit request, which replaces an earlier one of the same box.
+    pub fn on_request(&mut self, requester: PermitRequester, now: Micros) {
+        self.pending.retain(|pending| {
+            pending.requester.reply_to != requester.reply_to && is_pending(pending, now)
+        });
+        if self.pending.len() >= MAX_PENDING_REQUESTS {
+            self.pending.remove(0);
         }
-        let wanted = asker.wanted.min(MOST_WANTED);
-        let asker = PermitRequester { wanted, ..asker };
-        self.asks.push(Ask { asker, at: now });
+        let wanted = requester.wanted.min(MAX_PERMITS_PER_REQUEST);
+        let requester = PermitRequester {
+            wanted,
+            ..requester
+        };
+        self.pending.push(PendingRequest { requester, at: now });
     }
 
-    /// Deals what has accrued; returns who gets how many.
+    /// Allocates the permits that are available; returns how many each requester gets.
     pub fn allocate(&mut self, rate: RequestRate, now: Micros) -> Vec<PermitRequester> {
-        let rate = rate.per_second().max(LEAST_RATE);
-        let grown = rate * now.since(self.reckoned).as_secs_f64();
-        self.saved = (self.saved + grown).min(most_saved(rate));
-        self.reckoned = self.reckoned.max(now);
-        self.asks.retain(|ask| is_kept(ask, now));
-        let mut dealt: Vec<PermitRequester> = Vec::new();
-        while now >= self.starts && self.saved >= 1.0 {
-            let Some(mut ask) = self.asks.pop() else {
+        let rate = rate.per_second().max(MIN_RATE);
+        let accrued = rate * now.since(self.refilled_at).as_secs_f64();
+        self.available = (self.available + accrued).min(burst(rate));
+        self.refilled_at = self.refilled_at.max(now);
+        self.pending.retain(|pending| is_pending(pending, now));
+        let mut allocated: Vec<PermitRequester> = Vec::new();
+        while now >= self.starts && self.available >= 1.0 {
+            let Some(mut pending) = self.pending.pop() else {
                 break;
             };
-            self.saved -= 1.0;
-            add_one(&mut dealt, ask.asker.reply_to);
-            ask.asker.wanted -= 1;
-            if ask.asker.wanted > 0 {
-                self.asks.insert(0, ask);
+            self.available -= 1.0;
+            add_one(&mut allocated, pending.requester.reply_to);
+            pending.requester.wanted -= 1;
+            if pending.requester.wanted > 0 {
+                self.pending.insert(0, pending);
             }
         }
-        dealt
+        allocated
     }
 
-    /// When something can be dealt next, if anybody waits for it.
+    /// When the next permit can be allocated, if a request is pending.
     #[must_use]
     pub fn due(&self, rate: RequestRate) -> Option<Micros> {
-        if self.asks.is_empty() {
+        if self.pending.is_empty() {
             return None;
         }
-        let missing = (1.0 - self.saved).max(0.0);
-        let wait = missing / rate.per_second().max(LEAST_RATE);
-        let due = self.reckoned.after(Duration::from_secs_f64(wait));
+        let missing = (1.0 - self.available).max(0.0);
+        let wait = missing / rate.per_second().max(MIN_RATE);
+        let due = self.refilled_at.after(Duration::from_secs_f64(wait));
         Some(due.max(self.starts))
     }
 }
 
-fn is_kept(ask: &Ask, now: Micros) -> bool {
-    ask.asker.wanted > 0 && now.since(ask.at) < ASK_KEPT
+fn is_pending(pending: &PendingRequest, now: Micros) -> bool {
+    pending.requester.wanted > 0 && now.since(pending.at) < REQUEST_LIFETIME
 }
 
-fn add_one(dealt: &mut Vec<PermitRequester>, reply_to: SocketAddr) {
-    match dealt.iter_mut().find(|asker| asker.reply_to == reply_to) {
-        Some(asker) => asker.wanted += 1,
-        None => dealt.push(PermitRequester {
+fn add_one(allocated: &mut Vec<PermitRequester>, reply_to: SocketAddr) {
+    match allocated.iter_mut().find(|r| r.reply_to == reply_to) {
+        Some(requester) => requester.wanted += 1,
+        None => allocated.push(PermitRequester {
             reply_to,
             wanted: 1,
         }),
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -9,7 +9,7 @@
 use fixtures::{QUOTES, World, box_state, endpoint, listed, records};
 use magpiemoor::gateway::dispatch::action::Action;
 use magpiemoor::gateway::dispatch::event::{Event, Outcome};
-use magpiemoor::gateway::dispatch::fleet::limits::{Limits, PERMIT_FOR, RequestRate};
+use magpiemoor::gateway::dispatch::fleet::limits::{Limits, PERMIT_LIFETIME, RequestRate};
 use magpiemoor::gateway::dispatch::permits::allocator::{PermitAllocator, PermitRequester};
 use magpiemoor::gateway::dispatch::record::Record;
 use magpiemoor::rendezvous;
@@ -106,7 +106,7 @@
     assert_eq!(world.dispatcher.fleet().limits.count(), 0);
 }
 
-fn note(endpoint: &str, milli: Option<u32>, age_ms: u32) -> LimitReport {
+fn report(endpoint: &str, milli: Option<u32>, age_ms: u32) -> LimitReport {
     LimitReport {
         endpoint: endpoint.parse().unwrap(),
         milli_per_second: milli,
@@ -137,7 +137,7 @@
 ) {
     let mut limits = named(Some(1_900));
     let now = AT.after(Duration::from_millis(after_ms));
-    let is_news = limits.on_told(&note("till-n1", told, age_ms), now);
+    let is_news = limits.on_peer_report(&report("till-n1", told, age_ms), now);
     let id = "till-n1".parse().unwrap();
     assert_eq!(limits.of(&id).map(RequestRate::milli), then);
     assert_eq!(is_news, then != Some(1_900));
@@ -148,13 +148,13 @@
     let mut limits = named(None);
     let id = "till-n1".parse().unwrap();
     let now = AT.after(Duration::from_secs(20));
-    limits.settle(now);
-    assert!(!limits.on_told(&note("till-n1", Some(1_900), 21_000), now));
+    limits.forget_expired(now);
+    assert!(!limits.on_peer_report(&report("till-n1", Some(1_900), 21_000), now));
     assert_eq!(limits.of(&id), None);
     let now = AT.after(Duration::from_secs(31));
-    limits.settle(now);
+    limits.forget_expired(now);
     assert!(limits.is_empty());
-    assert!(!limits.on_told(&note("till-n1", Some(1_900), 31_000), now));
+    assert!(!limits.on_peer_report(&report("till-n1", Some(1_900), 31_000), now));
     assert_eq!(limits.of(&id), None);
 }
 
@@ -168,7 +168,7 @@
     assert!(limits.may_send(&id, AT));
     assert!(limits.on_sent(&id, AT));
     assert!(limits.may_send(&id, AT));
-    let lapsed = AT.after(PERMIT_FOR);
+    let lapsed = AT.after(PERMIT_LIFETIME);
     assert!(!limits.may_send(&id, lapsed));
     let other = "till-s1".parse().unwrap();
     assert!(limits.may_send(&other, AT), "it names no limit");
@@ -195,8 +195,8 @@
         let now = AT.after(Duration::from_millis(step * 5));
         // Nobody asks for a while, then all do.
         if step % 2_000 > 1_000 {
-            allocator.on_ask(asker(1, 40), now);
-            allocator.on_ask(asker(2, 40), now);
+            allocator.on_request(asker(1, 40), now);
+            allocator.on_request(asker(2, 40), now);
         }
         let count: u32 = allocator.allocate(rate, now).iter().map(|a| a.wanted).sum();
         allocated.extend(std::iter::repeat_n(now, count as usize));
@@ -220,8 +220,8 @@
     let rate = RequestRate::from_milli(2_000);
     let mut allocator = PermitAllocator::new(AT);
     let at = |ms| AT.after(Duration::from_millis(ms));
-    allocator.on_ask(asker(1, 1), at(300));
-    allocator.on_ask(asker(2, 1), at(440));
+    allocator.on_request(asker(1, 1), at(300));
+    allocator.on_request(asker(2, 1), at(440));
     assert_eq!(allocator.allocate(rate, at(440)), []);
     assert_eq!(allocator.due(rate), Some(at(500)));
     assert_eq!(allocator.allocate(rate, at(500)), [asker(2, 1)]);
@@ -236,10 +236,10 @@
     allocator.pause_until(until);
     for ms in (0..4_000).step_by(50) {
         let now = AT.after(Duration::from_millis(ms));
-        allocator.on_ask(asker(1, 9), now);
+        allocator.on_request(asker(1, 9), now);
         assert_eq!(allocator.allocate(rate, now), []);
     }
-    allocator.on_ask(asker(1, 9), until);
+    allocator.on_request(asker(1, 9), until);
     let allocated = allocator.allocate(rate, until.after(Duration::from_millis(100)));
     assert_eq!(allocated, [asker(1, 1)]);
 }
