--- a/lab/src/gateway/crashes/fleet.rs
+++ b/lab/src/gateway/crashes/fleet.rs
@@ -303,10 +303,14 @@
             } => {
                 self.send(at, &to, &datagram::write_state(&state, &crashes));
             }
-            Action::GossipUsage { to, news, crashes } => {
+            Action::GossipUsage {
+                to,
+                update: news,
+                crashes,
+            } => {
                 self.send(at, &to, &datagram::write_usage(&news, &crashes));
             }
-            Action::KeepQuarantine {
+            Action::SaveQuarantine {
                 request,
                 is_quarantined,
             } => self
@@ -323,18 +327,18 @@
             Action::WatchStore(true) => {
                 self.post_event(at, STORE_CALL, Event::StoreAnswered);
             }
-            Action::CheckEnded {
+            Action::CheckExited {
                 endpoint, address, ..
             } => {
-                let has_ended = self.has_ended(at, &endpoint, address);
+                let has_exited = self.has_exited(at, &endpoint, address);
                 let event = Event::Checked {
                     endpoint,
-                    has_ended,
+                    has_exited,
                 };
                 self.answer(at, event);
             }
             Action::FetchState { from, kind, .. } => {
-                let outcome = FetchOutcome::Whole;
+                let outcome = FetchOutcome::Complete;
                 let ended = Event::Fetched {
                     kind,
                     from,
@@ -372,7 +376,7 @@
     }
 
     /// Whether a box sees that nothing listens at an address of a failure domain.
-    fn has_ended(&self, at: usize, life: &EndpointIncarnation, address: SocketAddr) -> bool {
+    fn has_exited(&self, at: usize, life: &EndpointIncarnation, address: SocketAddr) -> bool {
         let domain = servers::domain_number(&life.id);
         !self.is_cut_between(at % DOMAINS, domain) && self.servers.listening_at(address).is_none()
     }
--- a/lab/src/gateway/crashes/fleet/callers.rs
+++ b/lab/src/gateway/crashes/fleet/callers.rs
@@ -114,7 +114,7 @@
             host: HOST.to_owned(),
             path: "/x".to_owned(),
             key: None,
-            patience: Some(if is_stream {
+            timeout: Some(if is_stream {
                 PATIENCE_STREAM
             } else {
                 PATIENCE_CALL
--- a/lab/src/gateway/limits/fleet.rs
+++ b/lab/src/gateway/limits/fleet.rs
@@ -251,17 +251,21 @@
             } => {
                 self.send(at, &to, &datagram::write_state(&state, &crashes));
             }
-            Action::GossipUsage { to, news, crashes } => {
+            Action::GossipUsage {
+                to,
+                update: news,
+                crashes,
+            } => {
                 self.send(at, &to, &datagram::write_usage(&news, &crashes));
             }
-            Action::TellLimits { to, news } => {
+            Action::PublishLimits { to, update: news } => {
                 self.send(at, &to, &datagram::write_limits(&news));
             }
             Action::WatchStore(true) if self.now() >= self.store_out_until => {
                 self.post_event(at, STORE_CALL, Event::StoreAnswered);
             }
             Action::FetchState { from, kind, .. } => {
-                let outcome = FetchOutcome::Whole;
+                let outcome = FetchOutcome::Complete;
                 let event = Event::Fetched {
                     kind,
                     from,
@@ -270,13 +274,13 @@
                 self.post_event(at, OUTSIDE * 2, event);
             }
             Action::Command { request, command } => self.command(at, request, command),
-            Action::CheckEnded {
+            Action::CheckExited {
                 endpoint, address, ..
             } => {
-                let has_ended = self.servers.listening_at(address).is_none();
+                let has_exited = self.servers.listening_at(address).is_none();
                 let event = Event::Checked {
                     endpoint,
-                    has_ended,
+                    has_exited,
                 };
                 self.post_event(at, OUTSIDE * 2, event);
             }
--- a/lab/src/gateway/limits/fleet/callers.rs
+++ b/lab/src/gateway/limits/fleet/callers.rs
@@ -80,7 +80,7 @@
             host: HOST.to_owned(),
             path: "/x".to_owned(),
             key: None,
-            patience: Some(PATIENCE),
+            timeout: Some(PATIENCE),
             after_event: None,
             parts: Vec::new(),
             prompt: Tokens(0),
--- a/lab/src/gateway/rollout/fleet.rs
+++ b/lab/src/gateway/rollout/fleet.rs
@@ -249,7 +249,9 @@
     fn perform(&mut self, at: usize, action: Action) {
         match action {
             Action::Gossip { to, state, .. } => self.send(at, &to, &Event::Peer(*state)),
-            Action::GossipUsage { to, news, .. } => self.send(at, &to, &Event::PeerUsage(news)),
+            Action::GossipUsage {
+                to, update: news, ..
+            } => self.send(at, &to, &Event::PeerUsage(news)),
             Action::FetchState { from, kind, .. } => self.fetch(at, from, kind),
             Action::WatchStore(is_watching) => self.watch_store(at, is_watching),
             Action::WatchRollouts(is_watching) => {
@@ -315,7 +317,7 @@
         let event = Event::Fetched {
             kind,
             from,
-            outcome: FetchOutcome::Whole,
+            outcome: FetchOutcome::Complete,
         };
         self.answer(at, event);
     }
--- a/lab/src/gateway/rollout/fleet/traffic.rs
+++ b/lab/src/gateway/rollout/fleet/traffic.rs
@@ -57,7 +57,7 @@
             host: "h".to_owned(),
             path: format!("/{route}/x"),
             key: None,
-            patience: Some(Duration::from_millis(if self.case.engines {
+            timeout: Some(Duration::from_millis(if self.case.engines {
                 25_000
             } else {
                 2_500
--- a/src/gateway/dispatch.rs
+++ b/src/gateway/dispatch.rs
@@ -171,15 +171,15 @@
     beat: u64,
     next_gossip: Micros,
     pending_usage: PendingUsage,
-    ends_at: Option<Micros>,
+    stop_deadline: Option<Micros>,
     stream_time: StreamTime,
     rollouts: Rollouts,
     watches_rollouts: bool,
-    next_note: Micros,
+    next_rollout_report: Micros,
     is_cut_off: bool,
     quarantine: Quarantine,
     pending_crashes: PendingCrashes,
-    has_asked_quarantine: bool,
+    has_requested_quarantine: bool,
     duty: Option<UsageDuty>,
     duty_clock: DutyClock,
     permits: Permits,
@@ -217,15 +217,15 @@
             beat: first_beat(cfg.incarnation),
             next_gossip: now,
             pending_usage: PendingUsage::default(),
-            ends_at: None,
+            stop_deadline: None,
             stream_time: StreamTime::default(),
             rollouts: Rollouts::new(cfg.exposure),
             watches_rollouts: false,
-            next_note: now,
+            next_rollout_report: now,
             is_cut_off: false,
             quarantine: Quarantine::default(),
             pending_crashes: PendingCrashes::default(),
-            has_asked_quarantine: cfg.first_start,
+            has_requested_quarantine: cfg.first_start,
             duty: duty_of(&cfg),
             duty_clock: DutyClock::new(now),
             permits: Permits::default(),
@@ -240,14 +240,14 @@
         self.now = now.max(self.now);
         match event {
             Event::Arrived { request, arrival } => self.on_arrival(request, arrival),
-            Event::CallerGone(_)
+            Event::CallerDisconnected(_)
             | Event::Connected { .. }
             | Event::StreamOpened { .. }
             | Event::LimitNamed { .. }
             | Event::Progress { .. }
             | Event::Ended { .. } => self.handle_attempt(event),
             Event::Tick => self.on_tick(),
-            Event::Stop { grace } => self.ends_at = Some(self.now.after(grace)),
+            Event::Stop { grace } => self.stop_deadline = Some(self.now.after(grace)),
             Event::Table(_)
             | Event::EndpointsListed { .. }
             | Event::EndpointsChanged { .. }
@@ -257,7 +257,7 @@
             | Event::Peer(_)
             | Event::PeerUsage(_)
             | Event::PeerCrashes { .. }
-            | Event::PeerBegan(_)
+            | Event::PeerUsageCounts(_)
             | Event::PeerHolder(_)
             | Event::PeerLimits(_)
             | Event::Fetched { .. }
@@ -267,7 +267,7 @@
             Event::UsageReported { window, outcome } => self.on_usage_reported(window, outcome),
             Event::Probed { .. }
             | Event::Checked { .. }
-            | Event::Named { .. }
+            | Event::IdentityReported { .. }
             | Event::Identified(_)
             | Event::Located { .. }
             | Event::SnapshotTaken { .. } => self.handle_answer(event),
@@ -278,7 +278,7 @@
     /// What the tasks of requests tell.
     fn handle_attempt(&mut self, event: Event) {
         match event {
-            Event::CallerGone(request) => self.on_caller_disconnected(request),
+            Event::CallerDisconnected(request) => self.on_caller_disconnected(request),
             Event::Connected { request, attempt } => self.on_connected(request, attempt),
             Event::StreamOpened { request, attempt } => self.on_stream_opened(request, attempt),
             Event::LimitNamed {
@@ -321,8 +321,8 @@
             }
             Event::Peer(state) => self.on_peer(&state),
             Event::PeerUsage(news) => self.on_peer_usage(&news),
-            Event::PeerCrashes { domain, news } => self.on_peer_crashes(domain.as_ref(), &news),
-            Event::PeerBegan(news) => self.on_peer_began(&news),
+            Event::PeerCrashes { domain, update: news } => self.on_peer_crashes(domain.as_ref(), &news),
+            Event::PeerUsageCounts(news) => self.on_peer_began(&news),
             Event::PeerHolder(holder) => self.on_peer_holder(&holder),
             Event::PeerLimits(news) => self.on_peer_limits(&news),
             Event::Fetched {
@@ -345,9 +345,9 @@
             } => self.on_probed(&endpoint, is_answered, born),
             Event::Checked {
                 endpoint,
-                has_ended,
-            } => self.on_checked(&endpoint, has_ended),
-            Event::Named {
+                has_exited,
+            } => self.on_checked(&endpoint, has_exited),
+            Event::IdentityReported {
                 endpoint,
                 instance,
                 born,
--- a/src/gateway/dispatch/action.rs
+++ b/src/gateway/dispatch/action.rs
@@ -36,9 +36,9 @@
     /// The replica that this attempt goes on from.
     pub resume_from: Option<ReplicaLocation>,
     /// How long to wait for a connection.
-    pub connect_limit: Duration,
+    pub connect_timeout: Duration,
     /// How long a connection that is used again may have rested.
-    pub longest_rest: Duration,
+    pub max_idle: Duration,
     /// Whether the dispatcher is to be told when the request goes out on a connection.
     pub reports_connection: bool,
     /// Whether the endpoint names a limit, so that the dispatcher is to be told if its answer does
@@ -100,7 +100,7 @@
         limit: Duration,
     },
     /// Make a connection to an endpoint, to see whether it has ended.
-    CheckEnded {
+    CheckExited {
         /// The endpoint, in the life that is in question.
         endpoint: EndpointIncarnation,
         /// Its address.
@@ -127,7 +127,7 @@
         name: SnapshotName,
     },
     /// Ask what has an endpoint's address who it is.
-    AskIdentity {
+    RequestIdentity {
         /// The endpoint that had the address.
         spec: EndpointSpec,
         /// Where that is asked.
@@ -136,7 +136,7 @@
     /// Find out whether what has an address now is a model engine.
     Identify(EndpointSpec),
     /// Close connections at rest to an address: what listens there has started again.
-    CloseResting(SocketAddr),
+    CloseIdleConnections(SocketAddr),
     /// Begin or cease to watch the platform's store.
     WatchStore(bool),
     /// Begin or cease to watch the store's objects that order roll-outs.
@@ -146,7 +146,7 @@
     /// Read from the platform's store which requests are quarantined, until that succeeds.
     ReadQuarantine,
     /// Have the platform's store keep that a request is quarantined, or is so no more.
-    KeepQuarantine {
+    SaveQuarantine {
         /// The request.
         request: Fingerprint,
         /// Whether it is.
@@ -168,26 +168,26 @@
         /// Their addresses.
         to: Vec<SocketAddr>,
         /// What runs there now.
-        news: UsageUpdate,
+        update: UsageUpdate,
         /// What it knows of requests that crash endpoints.
         crashes: CrashUpdate,
     },
     /// Tell boxes that may hold the duty how many requests began here, by UDP.
-    TellBegan {
+    PublishUsageCounts {
         /// Their addresses.
         to: Vec<SocketAddr>,
         /// What began.
-        news: UsageCountUpdate,
+        update: UsageCountUpdate,
     },
     /// Tell other boxes of endpoints that name limits, ask them for permits or grant some, by UDP.
-    TellLimits {
+    PublishLimits {
         /// Their addresses.
         to: Vec<SocketAddr>,
         /// What is told, asked and granted.
-        news: LimitUpdate,
+        update: LimitUpdate,
     },
     /// Call the store for a duty.
-    CallForDuty(StoreCall),
+    CallDutyStore(StoreCall),
     /// Report the usage of a window.
     ReportUsage {
         /// The fencing token.
--- a/src/gateway/dispatch/admission.rs
+++ b/src/gateway/dispatch/admission.rs
@@ -85,7 +85,7 @@
             self.queue_request(number, arrival);
             return;
         };
-        let grace_left = self.ends_at.map(|at| at.since(self.now));
+        let grace_left = self.stop_deadline.map(|at| at.since(self.now));
         let ends_too_soon = grace_left.is_some_and(|left| left < self.stream_time.expected());
         match decide(&table, &arrival, ends_too_soon) {
             Admission::Admitted { route, key_owner } => {
--- a/src/gateway/dispatch/attempts.rs
+++ b/src/gateway/dispatch/attempts.rs
@@ -148,7 +148,7 @@
             rollout.on_attempt(&spec.version, now);
         }
         self.count_attempt(number, &attempt, mirror, usage.prefill);
-        self.report_usage_soon(to);
+        self.publish_usage_soon(to);
         self.command(number, Command::Send(Box::new(attempt)));
     }
 
@@ -164,8 +164,8 @@
             after_event: request.last_event,
             mirror_to: None,
             resume_from: None,
-            connect_limit: ATTEMPT_CONNECT_LIMIT,
-            longest_rest: max_connection_idle(request),
+            connect_timeout: ATTEMPT_CONNECT_LIMIT,
+            max_idle: max_connection_idle(request),
             reports_connection: self.is_judged(&request.service),
             is_limited: self.fleet.limits.of(&spec.id).is_some(),
         }
@@ -234,7 +234,7 @@
 
     /// Removes an ended attempt from the usage counts.
     pub(super) fn uncount_attempt(&mut self, active: &ActiveAttempt) {
-        self.report_usage_soon(&active.endpoint.id);
+        self.publish_usage_soon(&active.endpoint.id);
         if let Some(endpoint) = self.fleet.get_incarnation_mut(&active.endpoint) {
             endpoint.own.running = endpoint.own.running.saturating_sub(active.slots);
             endpoint.own.prefill = endpoint.own.prefill.saturating_sub(active.prefill);
--- a/src/gateway/dispatch/crashes.rs
+++ b/src/gateway/dispatch/crashes.rs
@@ -1,7 +1,7 @@
 //! Endpoints that end under requests: how this box makes sure of it, and what follows for requests.
 //!
 //! A connection that breaks may only have been closed, so what listens at the address is asked for by
-//! a connection ([`Action::CheckEnded`]); an endpoint whose port refuses it has ended. Others of its
+//! a connection ([`Action::CheckExited`]); an endpoint whose port refuses it has ended. Others of its
 //! failure domain may have ended with it, which is known [`CRASH_SETTLING`] later. Then the crash is
 //! noted and told, and [`DECIDED_AFTER`] it the request is decided about ([`super::quarantine`]). A
 //! request that the crash may have quarantined, or after which it is to run alone, waits for that
@@ -131,7 +131,7 @@
             .entry(life.clone())
             .or_default();
         if of_life.is_empty() {
-            self.actions.push(Action::CheckEnded {
+            self.actions.push(Action::CheckExited {
                 endpoint: life,
                 address,
                 limit: CHECK_LIMIT,
@@ -141,9 +141,9 @@
     }
 
     /// An endpoint was checked whose connection broke.
-    pub(super) fn on_checked(&mut self, life: &EndpointIncarnation, has_ended: bool) {
+    pub(super) fn on_checked(&mut self, life: &EndpointIncarnation, has_exited: bool) {
         let pending = self.pending_crashes.checked.remove(life);
-        if has_ended {
+        if has_exited {
             self.pending_crashes
                 .settling
                 .extend(pending.unwrap_or_default());
@@ -170,7 +170,7 @@
         }
         self.decide_crashes();
         if self.quarantine.has_unpublished() {
-            self.report_at_once();
+            self.publish_immediately();
         }
     }
 
@@ -209,7 +209,7 @@
     }
 
     fn keep_quarantine(&mut self, request: Fingerprint, is_quarantined: bool) {
-        self.actions.push(Action::KeepQuarantine {
+        self.actions.push(Action::SaveQuarantine {
             request,
             is_quarantined,
         });
@@ -218,7 +218,7 @@
     /// Has the store asked which requests are quarantined, once in a life of this box: where all boxes
     /// were lost at once no other one can tell. Few boxes begin to watch the store.
     pub(super) fn read_quarantine_once(&mut self) {
-        if !std::mem::replace(&mut self.has_asked_quarantine, true) {
+        if !std::mem::replace(&mut self.has_requested_quarantine, true) {
             self.actions.push(Action::ReadQuarantine);
         }
     }
@@ -230,7 +230,7 @@
         }
         if self.quarantine.has_unpublished() {
             self.gossip_soon();
-            self.report_at_once();
+            self.publish_immediately();
         }
     }
 
@@ -242,7 +242,7 @@
             self.quarantine_request(request);
         }
         if self.quarantine.has_unpublished() {
-            self.report_at_once();
+            self.publish_immediately();
         }
     }
 
--- a/src/gateway/dispatch/duties.rs
+++ b/src/gateway/dispatch/duties.rs
@@ -63,26 +63,26 @@
             day,
         };
         self.duty_clock.read = now;
-        let is_stopping = self.ends_at.is_some();
+        let is_stopping = self.stop_deadline.is_some();
         if self.now >= self.duty_clock.next_told || is_stopping {
             self.duty_clock.next_told = self.now.after(TELL_EVERY);
             let news = duty.news(now);
             let to = self.store_watchers.addresses(self.now);
             if !to.is_empty() {
-                self.actions.push(Action::TellBegan { to, news });
+                self.actions.push(Action::PublishUsageCounts { to, update: news });
             }
         }
         let domain_news = duty.domain_news(&self.cfg.domain, now);
         if let Some((holder, news)) = domain_news.filter(|_| self.watches_rollouts) {
             let to = vec![holder];
-            self.actions.push(Action::TellBegan { to, news });
+            self.actions.push(Action::PublishUsageCounts { to, update: news });
         }
         self.do_duty();
     }
 
     /// Does what the duty asks for now.
     fn do_duty(&mut self) {
-        let may_hold = self.watches_rollouts && self.ends_at.is_none();
+        let may_hold = self.watches_rollouts && self.stop_deadline.is_none();
         let others = self.peers.roster().other_domains();
         let now = self.duty_clock.now(self.now);
         let (Some(duty), Some(now)) = (self.duty.as_mut(), now) else {
@@ -90,7 +90,7 @@
         };
         for step in duty.tick(may_hold, &others, now) {
             self.actions.push(match step {
-                DutyStep::Store(call) => Action::CallForDuty(call),
+                DutyStep::Store(call) => Action::CallDutyStore(call),
                 DutyStep::Report { token, window } => Action::ReportUsage { token, window },
             });
         }
--- a/src/gateway/dispatch/event.rs
+++ b/src/gateway/dispatch/event.rs
@@ -70,7 +70,7 @@
     /// The caller's key.
     pub key: Option<String>,
     /// How long the caller waits, from its arrival on.
-    pub patience: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// The event after which the caller wants a stream to go on.
     pub after_event: Option<u64>,
     /// The parts of the prompt, by ids that engines know them by, in order.
@@ -204,7 +204,7 @@
         arrival: Arrival,
     },
     /// The caller has gone away.
-    CallerGone(RequestNumber),
+    CallerDisconnected(RequestNumber),
     /// A request goes out on a connection, told where the attempt asks for it.
     Connected {
         /// The request.
@@ -261,7 +261,7 @@
         /// The endpoint, in the life that was in question.
         endpoint: EndpointIncarnation,
         /// Whether nothing listens at its address any more.
-        has_ended: bool,
+        has_exited: bool,
     },
     /// A configuration was read.
     Table(Arc<RoutingTable>),
@@ -297,7 +297,7 @@
     /// The time of day, now and then, where a duty asks for it.
     TimeOfDay(UnixMillis),
     /// Another box told how many requests began there.
-    PeerBegan(UsageCountUpdate),
+    PeerUsageCounts(UsageCountUpdate),
     /// Another box told who holds the duty.
     PeerHolder(DutyHolder),
     /// The store answered a call that a duty made, or did not.
@@ -323,7 +323,7 @@
         /// Its failure domain, if that is not the own one for sure.
         domain: Option<DomainId>,
         /// What it told.
-        news: CrashUpdate,
+        update: CrashUpdate,
     },
     /// Another box told of endpoints that name limits.
     PeerLimits(LimitUpdate),
@@ -346,7 +346,7 @@
         grace: Duration,
     },
     /// What has an endpoint's address said who it is.
-    Named {
+    IdentityReported {
         /// The endpoint that had the address.
         endpoint: EndpointId,
         /// Who has it now.
--- a/src/gateway/dispatch/fetches.rs
+++ b/src/gateway/dispatch/fetches.rs
@@ -69,7 +69,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum FetchOutcome {
     /// It brought what the peer has.
-    Whole,
+    Complete,
     /// The peer answers others.
     Busy,
     /// No connection, or no answer.
@@ -176,7 +176,7 @@
         now: Micros,
     ) {
         let avoided_for = match outcome {
-            FetchOutcome::Whole => {
+            FetchOutcome::Complete => {
                 self.next = now.after(FETCH_PAUSE);
                 if self.has == self.had {
                     // What it brought is of no use here; nobody is asked until told anew.
--- a/src/gateway/dispatch/gossip.rs
+++ b/src/gateway/dispatch/gossip.rs
@@ -67,7 +67,7 @@
 impl Dispatcher {
     /// Lets the boxes of the own failure domain know soon what runs at an endpoint, so that they
     /// choose others.
-    pub(super) fn report_usage_soon(&mut self, endpoint: &EndpointId) {
+    pub(super) fn publish_usage_soon(&mut self, endpoint: &EndpointId) {
         let pending = &mut self.pending_usage;
         pending.endpoints.insert(endpoint.clone());
         let due = self.now.after(USAGE_PAUSE).max(pending.allowed);
@@ -76,7 +76,7 @@
 
     /// Lets the boxes of the own failure domain know at once of crashes, and how far this one is with
     /// roll-outs.
-    pub(super) fn report_at_once(&mut self) {
+    pub(super) fn publish_immediately(&mut self) {
         let pending = &mut self.pending_usage;
         let due = self.now.max(pending.allowed);
         pending.due = Some(pending.due.map_or(due, |known| known.min(due)));
@@ -105,9 +105,9 @@
             samples,
             rollouts: self.rollout_notes(),
         };
-        self.actions.push(Action::GossipUsage { to, news, crashes });
+        self.actions.push(Action::GossipUsage { to, update: news, crashes });
         if self.quarantine.has_unpublished() {
-            self.report_at_once();
+            self.publish_immediately();
         }
     }
 
@@ -167,7 +167,7 @@
             domain: self.cfg.domain.clone(),
             address: self.cfg.address.to_string(),
             table_version: self.table_version().0,
-            stopping: self.ends_at.is_some(),
+            stopping: self.stop_deadline.is_some(),
             usage,
             domain_usage,
             totals,
--- a/src/gateway/dispatch/readiness.rs
+++ b/src/gateway/dispatch/readiness.rs
@@ -16,7 +16,7 @@
     #[must_use]
     pub fn is_ready(&self) -> bool {
         let is_configured = self.table.is_some() && self.fleet.is_known();
-        is_configured && self.ends_at.is_none() && !self.is_cut_off
+        is_configured && self.stop_deadline.is_none() && !self.is_cut_off
     }
 
     /// Notes when this box is cut off from what it needs, and when it no longer is.
--- a/src/gateway/dispatch/request.rs
+++ b/src/gateway/dispatch/request.rs
@@ -116,7 +116,7 @@
         key_owner: Option<KeyOwner>,
         now: Micros,
     ) -> Self {
-        let timeout = arrival.patience.unwrap_or(route.timeout);
+        let timeout = arrival.timeout.unwrap_or(route.timeout);
         let organisation = key_owner.as_ref().map(|owner| &owner.organisation);
         Self {
             fingerprint: arrival.content.asked_by(organisation),
--- a/src/gateway/dispatch/rollout_samples.rs
+++ b/src/gateway/dispatch/rollout_samples.rs
@@ -189,7 +189,7 @@
             step,
         };
         rollout.evidence_mut().on_own_sample(sample, is_target);
-        self.report_usage_soon(&active.endpoint.id);
+        self.publish_usage_soon(&active.endpoint.id);
     }
 }
 
--- a/src/gateway/dispatch/rollouts.rs
+++ b/src/gateway/dispatch/rollouts.rs
@@ -187,14 +187,14 @@
         if has_entered {
             self.tell_rollouts();
         } else if has_left {
-            self.next_note = self.now;
+            self.next_rollout_report = self.now;
             self.note_if_due();
         }
     }
 
     /// Tells the own domain and the boxes that watch the store elsewhere at once.
     fn tell_rollouts(&mut self) {
-        self.next_note = self.now;
+        self.next_rollout_report = self.now;
         self.note_if_due();
         self.tell_watchers();
         self.gossip_soon();
@@ -212,9 +212,9 @@
     fn note_if_due(&mut self) {
         let is_leaving = |r: &Rollout| r.phase() != RolloutPhase::Canary && !r.is_finished();
         let is_wanted = self.rollouts.iter().any(is_leaving);
-        if is_wanted && self.now >= self.next_note {
-            self.next_note = self.now.after(NOTE_EVERY);
-            self.report_at_once();
+        if is_wanted && self.now >= self.next_rollout_report {
+            self.next_rollout_report = self.now.after(NOTE_EVERY);
+            self.publish_immediately();
         }
     }
 
--- a/src/gateway/dispatch/suspicion.rs
+++ b/src/gateway/dispatch/suspicion.rs
@@ -133,7 +133,7 @@
                 continue;
             };
             let path = service.health_path.clone();
-            self.actions.push(Action::AskIdentity { spec, path });
+            self.actions.push(Action::RequestIdentity { spec, path });
         }
     }
 
--- a/src/gateway/shell/attempt.rs
+++ b/src/gateway/shell/attempt.rs
@@ -54,7 +54,7 @@
     let started = Instant::now();
     let mut attempt = attempt.clone();
     attempt.after_event = attempt.after_event.max(after);
-    if let Some(mut connection) = shared.pool.take(attempt.address, attempt.longest_rest) {
+    if let Some(mut connection) = shared.pool.take(attempt.address, attempt.max_idle) {
         report_connection(shared, number, &attempt).await;
         match connection.send(outgoing(shared, request, &attempt)).await {
             Ok(response) => return Ok((response, connection)),
@@ -63,7 +63,7 @@
             Err(e) => return Err(outcome_of(&e)),
         }
     }
-    let mut connection = Pool::connect(attempt.address, attempt.connect_limit)
+    let mut connection = Pool::connect(attempt.address, attempt.connect_timeout)
         .await
         .map_err(|_| Outcome::NotSent)?;
     report_connection(shared, number, &attempt).await;
--- a/src/gateway/shell/control.rs
+++ b/src/gateway/shell/control.rs
@@ -76,7 +76,7 @@
                 Event::Arrived { request, arrival }
             }
         };
-        if let Event::CallerGone(request) = &event {
+        if let Event::CallerDisconnected(request) = &event {
             self.commands.remove(request);
         }
         let is_belief = matches!(
@@ -119,25 +119,25 @@
             Action::WatchRollouts(is_watching) => {
                 self.shared.set_watching(ObjectKind::Rollouts, is_watching);
             }
-            Action::CloseResting(address) => self.shared.pool.close_resting_at(address),
+            Action::CloseIdleConnections(address) => self.shared.pool.close_resting_at(address),
             Action::Record(record) => self.shared.record(&record),
             Action::Gossip { .. }
             | Action::GossipUsage { .. }
             | Action::FetchState { .. }
             | Action::ReadTable
             | Action::ReadQuarantine
-            | Action::KeepQuarantine { .. }
-            | Action::TellBegan { .. }
-            | Action::TellLimits { .. }
-            | Action::CallForDuty(_)
+            | Action::SaveQuarantine { .. }
+            | Action::PublishUsageCounts { .. }
+            | Action::PublishLimits { .. }
+            | Action::CallDutyStore(_)
             | Action::ReportUsage { .. }
             | Action::WriteRollout(_) => self.speak_to_boxes(action),
             Action::Probe { .. }
-            | Action::CheckEnded { .. }
+            | Action::CheckExited { .. }
             | Action::Locate { .. }
             | Action::TakeSnapshot(_)
             | Action::DropSnapshot { .. }
-            | Action::AskIdentity { .. }
+            | Action::RequestIdentity { .. }
             | Action::Identify(_) => self.speak_to_endpoints(action),
         }
     }
@@ -157,7 +157,7 @@
                 let datagram = datagram.and_then(|message| datagram::with_holder(message, holder));
                 self.spawn(peers::send(gossip, to, datagram, shared));
             }
-            Action::GossipUsage { to, news, crashes } => {
+            Action::GossipUsage { to, update: news, crashes } => {
                 let datagram = datagram::write_usage(&news, &crashes);
                 self.spawn(peers::send(gossip, to, datagram, shared));
             }
@@ -166,20 +166,20 @@
             }
             Action::ReadTable => self.spawn(store::read_table(shared)),
             Action::ReadQuarantine => self.spawn(quarantine::read(shared)),
-            Action::KeepQuarantine {
+            Action::SaveQuarantine {
                 request,
                 is_quarantined,
             } => self.spawn(quarantine::keep(request, is_quarantined, shared)),
             Action::WriteRollout(write) => self.spawn(rollouts::write_status(write, shared)),
-            Action::TellBegan { to, news } => {
+            Action::PublishUsageCounts { to, update: news } => {
                 let datagram = datagram::write_began(&news);
                 self.spawn(peers::send(gossip, to, datagram, shared));
             }
-            Action::TellLimits { to, news } => {
+            Action::PublishLimits { to, update: news } => {
                 let datagram = datagram::write_limits(&news);
                 self.spawn(peers::send(gossip, to, datagram, shared));
             }
-            Action::CallForDuty(call) => self.spawn(duties::call_store(call, shared)),
+            Action::CallDutyStore(call) => self.spawn(duties::call_store(call, shared)),
             Action::ReportUsage { token, window } => {
                 self.spawn(duties::report(token, window, shared));
             }
@@ -196,7 +196,7 @@
                 address,
                 limit,
             } => self.spawn(probes::probe(endpoint, address, limit, shared)),
-            Action::CheckEnded {
+            Action::CheckExited {
                 endpoint,
                 address,
                 limit,
@@ -210,7 +210,7 @@
             Action::DropSnapshot { engine, name } => {
                 self.spawn(snapshots::discard(engine, name, shared));
             }
-            Action::AskIdentity { spec, path } => {
+            Action::RequestIdentity { spec, path } => {
                 self.spawn(probes::ask_identity(spec, path, shared));
             }
             Action::Identify(spec) => self.spawn(probes::identify(spec, shared)),
--- a/src/gateway/shell/datagram.rs
+++ b/src/gateway/shell/datagram.rs
@@ -136,11 +136,11 @@
         if section.kind == CRASHES {
             let news = read_content(&section)?;
             let domain = domain.clone();
-            events.push(Event::PeerCrashes { domain, news });
+            events.push(Event::PeerCrashes { domain, update: news });
         } else if section.kind == HOLDER {
             events.push(Event::PeerHolder(read_content(&section)?));
         } else if section.kind == BEGAN {
-            events.push(Event::PeerBegan(read_content(&section)?));
+            events.push(Event::PeerUsageCounts(read_content(&section)?));
         } else if section.kind == LIMITS {
             events.push(Event::PeerLimits(read_content(&section)?));
         }
--- a/src/gateway/shell/exchange.rs
+++ b/src/gateway/shell/exchange.rs
@@ -150,7 +150,7 @@
     }
 
     async fn report_gone(&self) {
-        self.report(Event::CallerGone(self.number)).await;
+        self.report(Event::CallerDisconnected(self.number)).await;
     }
 
     /// Makes one attempt; returns whether the exchange goes on.
--- a/src/gateway/shell/probes.rs
+++ b/src/gateway/shell/probes.rs
@@ -55,13 +55,13 @@
 ) {
     shared.metrics.probes.inc();
     let connecting = tokio::time::timeout(limit, TcpStream::connect(address)).await;
-    let has_ended = match connecting {
+    let has_exited = match connecting {
         Ok(Err(e)) => e.kind() == ErrorKind::ConnectionRefused,
         Ok(Ok(_)) | Err(_) => false,
     };
     let event = Event::Checked {
         endpoint,
-        has_ended,
+        has_exited,
     };
     shared.send(Input::Event(event)).await;
 }
@@ -118,7 +118,7 @@
     };
     let named = tokio::time::timeout(LOCATE_LIMIT, asking).await;
     if let Some((instance, born)) = named.ok().flatten() {
-        let event = Event::Named {
+        let event = Event::IdentityReported {
             endpoint: spec.id,
             instance,
             born,
--- a/src/gateway/shell/transfer.rs
+++ b/src/gateway/shell/transfer.rs
@@ -72,7 +72,7 @@
         Ok(reply) if reply.is_busy => FetchOutcome::Busy,
         Ok(reply) => {
             take_in(reply, from, &wanted, began, &shared).await;
-            FetchOutcome::Whole
+            FetchOutcome::Complete
         }
         Err(e) => {
             let detail = format_args!("{kind:?} from {from}: {e}");
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -63,7 +63,7 @@
     let mut world = World::empty(GENEROUS);
     let (request, _) = world.arrive(PAYMENTS);
     assert_eq!(world.dispatcher.active(), 1);
-    world.handle(Event::CallerGone(request));
+    world.handle(Event::CallerDisconnected(request));
     assert_eq!(world.dispatcher.active(), 0);
     world.handle(Event::Table(Arc::new(table(1))));
     world.handle(listed(endpoints()));
--- a/tests/copies.rs
+++ b/tests/copies.rs
@@ -254,7 +254,7 @@
 #[test]
 fn a_copy_is_dropped_when_its_caller_has_left() {
     let (mut world, request, _, _) = with_another_copy();
-    world.handle(Event::CallerGone(request));
+    world.handle(Event::CallerDisconnected(request));
     assert_eq!(dropped(&world.actions), 1);
 }
 
--- a/tests/crash_checks.rs
+++ b/tests/crash_checks.rs
@@ -25,7 +25,7 @@
 
 fn checks(actions: &[Action]) -> Vec<EndpointIncarnation> {
     let checks = actions.iter().filter_map(|action| match action {
-        Action::CheckEnded { endpoint, .. } => Some(endpoint.clone()),
+        Action::CheckExited { endpoint, .. } => Some(endpoint.clone()),
         _ => None,
     });
     checks.collect()
@@ -44,13 +44,13 @@
     world: &mut World,
     request: RequestNumber,
     attempt: &Attempt,
-    has_ended: bool,
+    has_exited: bool,
 ) -> (Vec<Action>, Option<Attempt>) {
     let mut done = world.end(request, attempt.attempt, BROKEN).to_vec();
     for endpoint in checks(&done) {
         let checked = Event::Checked {
             endpoint,
-            has_ended,
+            has_exited,
         };
         done.extend(world.handle(checked).to_vec());
     }
@@ -184,7 +184,10 @@
         }],
         ..CrashUpdate::default()
     };
-    let done = world.handle(Event::PeerCrashes { domain: None, news });
+    let done = world.handle(Event::PeerCrashes {
+        domain: None,
+        update: news,
+    });
     assert_eq!(refusal(done), Some(RefusalReason::Quarantined));
 }
 
@@ -192,7 +195,7 @@
 #[case::that_ended(true, Some(RefusalReason::Quarantined))]
 #[case::that_goes_on(false, None)]
 fn a_call_waits_for_the_verdict_of_its_third_server(
-    #[case] has_ended: bool,
+    #[case] has_exited: bool,
     #[case] expected: Option<RefusalReason>,
 ) {
     let mut world = world();
@@ -204,9 +207,9 @@
         let life = attempt.endpoint.into();
         world.handle(Event::Checked {
             endpoint: life,
-            has_ended: true,
+            has_exited: true,
         });
-        world.handle(Event::CallerGone(request));
+        world.handle(Event::CallerDisconnected(request));
         world.run(250);
     }
     let arrival = again(&mut world, QUOTES, Fingerprint(9));
@@ -220,7 +223,7 @@
             world
                 .handle(Event::Checked {
                     endpoint,
-                    has_ended,
+                    has_exited,
                 })
                 .to_vec(),
         );
@@ -236,9 +239,9 @@
     let done = crash(&mut world, Fingerprint(7), 3);
     let kept = done
         .iter()
-        .filter(|action| matches!(action, Action::KeepQuarantine { .. }));
+        .filter(|action| matches!(action, Action::SaveQuarantine { .. }));
     let kept: Vec<_> = kept.collect();
-    let expected = Action::KeepQuarantine {
+    let expected = Action::SaveQuarantine {
         request: fingerprint(7),
         is_quarantined: true,
     };
@@ -289,7 +292,7 @@
         let attempt = first.unwrap();
         assert_eq!(attempt.attempt, AttemptNumber(1));
         break_off(&mut world, request, &attempt, true);
-        world.handle(Event::CallerGone(request));
+        world.handle(Event::CallerDisconnected(request));
     }
     world.pass(60_000);
     let arrival = again(&mut world, STREAMS, Fingerprint(7));
--- a/tests/datagram.rs
+++ b/tests/datagram.rs
@@ -111,7 +111,7 @@
 
 fn told(events: &[Event]) -> &CrashUpdate {
     match events {
-        [_, Event::PeerCrashes { news, .. }] => news,
+        [_, Event::PeerCrashes { update: news, .. }] => news,
         other => panic!("{other:?}"),
     }
 }
@@ -220,7 +220,7 @@
 fn what_began_goes_behind_a_message_that_tells_nothing() {
     let bytes = write_began(&began()).unwrap();
     let events = read(&bytes).unwrap();
-    let [Event::PeerUsage(nothing), Event::PeerBegan(read)] = &events[..] else {
+    let [Event::PeerUsage(nothing), Event::PeerUsageCounts(read)] = &events[..] else {
         panic!("{events:?}");
     };
     assert_eq!(*read, began());
--- a/tests/dispatch.rs
+++ b/tests/dispatch.rs
@@ -105,7 +105,7 @@
 fn the_time_that_is_left_is_the_smaller_of_callers_and_routes() {
     let mut world = World::ready();
     let mut arrival = world.arrival(QUOTES);
-    arrival.patience = Some(Duration::from_millis(300));
+    arrival.timeout = Some(Duration::from_millis(300));
     let (request, first) = world.arrive_as(arrival);
     assert_eq!(
         first.as_ref().unwrap().time_left,
@@ -178,7 +178,7 @@
 fn a_caller_that_left_is_forgotten() {
     let mut world = World::ready();
     let (request, first) = world.arrive(STREAMS);
-    world.handle(Event::CallerGone(request));
+    world.handle(Event::CallerDisconnected(request));
     assert_eq!(world.dispatcher.active(), 0);
     let endpoint = world.dispatcher.fleet().get(&first.unwrap().endpoint);
     assert_eq!(endpoint.unwrap().own.running, 0);
@@ -240,7 +240,7 @@
         vec![FetchKind::Table, FetchKind::Endpoints]
     );
     // A list of thousands of endpoints may be under way for long; the table doesn't wait for it.
-    world.handle(fetch_ended(FetchKind::Table, FetchOutcome::Whole));
+    world.handle(fetch_ended(FetchKind::Table, FetchOutcome::Complete));
     world.pass(150);
     assert_eq!(hear_of_news(&mut world, 3), vec![FetchKind::Table]);
 }
@@ -253,7 +253,7 @@
         world.pass(20);
         assert_eq!(hear_of_news(&mut world, number), Vec::new());
     }
-    world.handle(fetch_ended(FetchKind::Endpoints, FetchOutcome::Whole));
+    world.handle(fetch_ended(FetchKind::Endpoints, FetchOutcome::Complete));
     assert_eq!(hear_of_news(&mut world, 40), Vec::new(), "a pause follows");
     world.pass(100);
     assert_eq!(hear_of_news(&mut world, 41), vec![FetchKind::Endpoints]);
--- a/tests/duty_counts.rs
+++ b/tests/duty_counts.rs
@@ -48,7 +48,9 @@
     }));
     let done = world.handle(Event::TimeOfDay(UnixMillis(DAY + 1_000)));
     done.iter().find_map(|action| match action {
-        Action::TellBegan { to, news } if *to == ["127.0.0.8:7200".parse().unwrap()] => {
+        Action::PublishUsageCounts { to, update: news }
+            if *to == ["127.0.0.8:7200".parse().unwrap()] =>
+        {
             Some(news.clone())
         }
         _ => None,
--- a/tests/fetches.rs
+++ b/tests/fetches.rs
@@ -110,7 +110,7 @@
         assert_eq!(hear(&mut world, number, domain, version), Vec::new());
     }
     world.handle(Event::Table(Arc::new(table(5))));
-    end(&mut world, address(2), FetchOutcome::Whole);
+    end(&mut world, address(2), FetchOutcome::Complete);
     assert_eq!(asked(&world.run(150)), vec![address(5)]);
 }
 
--- a/tests/gateway/fixtures.rs
+++ b/tests/gateway/fixtures.rs
@@ -230,7 +230,7 @@
             host: "shop.example".to_owned(),
             path: format!("{path}x"),
             key: Some(KEY.to_owned()),
-            patience: Some(Duration::from_millis(if is_stream {
+            timeout: Some(Duration::from_millis(if is_stream {
                 25_000
             } else {
                 1_500
--- a/tests/gateway/fleet.rs
+++ b/tests/gateway/fleet.rs
@@ -261,7 +261,9 @@
                 self.bytes += encoded(&*state) * to.len() as u64;
                 self.send(at, &to, &Event::Peer(*state));
             }
-            Action::GossipUsage { to, news, .. } => {
+            Action::GossipUsage {
+                to, update: news, ..
+            } => {
                 self.bytes += encoded(&news) * to.len() as u64;
                 self.send(at, &to, &Event::PeerUsage(news));
             }
@@ -323,7 +325,7 @@
         let address = holder.address;
         let outcome = if holder.is_running && has > 0 {
             self.give(at, kind);
-            FetchOutcome::Whole
+            FetchOutcome::Complete
         } else {
             FetchOutcome::Failed
         };
--- a/tests/incarnations.rs
+++ b/tests/incarnations.rs
@@ -86,7 +86,7 @@
 
 fn asked_who_they_are(actions: &[Action]) -> Vec<EndpointId> {
     let asked = actions.iter().filter_map(|action| match action {
-        Action::AskIdentity { spec, .. } => Some(spec.id.clone()),
+        Action::RequestIdentity { spec, .. } => Some(spec.id.clone()),
         _ => None,
     });
     asked.collect()
@@ -98,7 +98,8 @@
     let (request, first) = begun(&mut world);
     let host = mirror_of(&first);
     reborn(&mut world, &host, 2_000, 50);
-    let is_closed = |action: &Action| *action == Action::CloseResting(first.mirror_to.unwrap());
+    let is_closed =
+        |action: &Action| *action == Action::CloseIdleConnections(first.mirror_to.unwrap());
     assert!(world.actions.iter().any(is_closed));
     world.end(request, first.attempt, CLOSED);
     let second = first_attempt(&world.actions).unwrap();
@@ -435,7 +436,7 @@
         ..box_state("box-2", "north", "127.0.0.9:7200")
     }));
     assert!(world_asks(&mut world), "it holds a replica");
-    world.handle(Event::Named {
+    world.handle(Event::IdentityReported {
         endpoint: host.clone(),
         instance: host.clone(),
         born: Some(StartTime(2_000)),
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -295,7 +295,7 @@
 /// Permits that a box asks others for, by the endpoint.
 fn asks(actions: &[Action]) -> Vec<(Vec<SocketAddr>, PermitRequest)> {
     let asked = actions.iter().filter_map(|action| match action {
-        Action::TellLimits { to, news } => Some((to, news)),
+        Action::PublishLimits { to, update: news } => Some((to, news)),
         _ => None,
     });
     let asked = asked.flat_map(|(to, news)| {
--- a/tests/rollout_end.rs
+++ b/tests/rollout_end.rs
@@ -33,7 +33,7 @@
 /// What the own domain was told of how far boxes are.
 fn told_notes(actions: &[Action]) -> usize {
     let news = actions.iter().filter_map(|action| match action {
-        Action::GossipUsage { news, .. } => Some(news.rollouts.len()),
+        Action::GossipUsage { update: news, .. } => Some(news.rollouts.len()),
         _ => None,
     });
     news.sum()
@@ -98,7 +98,7 @@
 /// Whether the own domain was told lately that this box has left the old version.
 fn has_said_it_left(actions: &[Action]) -> bool {
     let news = actions.iter().filter_map(|action| match action {
-        Action::GossipUsage { news, .. } => Some(&news.rollouts),
+        Action::GossipUsage { update: news, .. } => Some(&news.rollouts),
         _ => None,
     });
     news.flatten().any(|note| note.is_clear)
--- a/tests/rollouts.rs
+++ b/tests/rollouts.rs
@@ -50,7 +50,7 @@
 /// Answers that peers were told of.
 fn told_answers(actions: &[Action]) -> usize {
     let news = actions.iter().filter_map(|action| match action {
-        Action::GossipUsage { news, .. } => Some(news.samples.len()),
+        Action::GossipUsage { update: news, .. } => Some(news.samples.len()),
         _ => None,
     });
     news.sum()
--- a/tests/suspicion.rs
+++ b/tests/suspicion.rs
@@ -209,7 +209,7 @@
     }
     let asked = |actions: &[Action]| {
         let named = actions.iter().filter_map(|action| match action {
-            Action::AskIdentity { spec, .. } => Some(spec.clone()),
+            Action::RequestIdentity { spec, .. } => Some(spec.clone()),
             _ => None,
         });
         named.collect::<Vec<_>>()
@@ -220,7 +220,7 @@
     assert!(named.iter().all(|spec| domain_of(&spec.id) == "north"));
     // One that is who it was is trusted again; another one is looked at.
     let before = named[0].clone();
-    world.handle(Event::Named {
+    world.handle(Event::IdentityReported {
         endpoint: before.id.clone(),
         instance: before.id.clone(),
         born: None,
@@ -228,7 +228,7 @@
     let fleet = world.dispatcher.fleet();
     assert!(!fleet.is_suspected(fleet.get(&before.id).unwrap(), world.now));
     let other = named[1].clone();
-    world.handle(Event::Named {
+    world.handle(Event::IdentityReported {
         endpoint: other.id.clone(),
         instance: "engine-n9".parse().unwrap(),
         born: None,
--- a/tests/usage.rs
+++ b/tests/usage.rs
@@ -42,7 +42,9 @@
 
 fn told(actions: &[Action]) -> Vec<(Vec<SocketAddr>, UsageUpdate)> {
     let told = actions.iter().filter_map(|action| match action {
-        Action::GossipUsage { to, news, .. } => Some((to.clone(), news.clone())),
+        Action::GossipUsage {
+            to, update: news, ..
+        } => Some((to.clone(), news.clone())),
         _ => None,
     });
     told.collect()
@@ -102,7 +104,7 @@
         world.handle(news("box-2", vec![usage(free, 0, 0)]));
         let (request, sent) = world.arrive(STREAMS);
         assert_eq!(sent.unwrap().endpoint.as_str(), free);
-        world.handle(Event::CallerGone(request));
+        world.handle(Event::CallerDisconnected(request));
     }
 }
 
@@ -311,7 +313,7 @@
         let (request, attempt) = world.arrive(STREAMS);
         let mirror = attempt.unwrap().mirror_to.unwrap();
         assert_eq!(mirror.port(), sound);
-        world.handle(Event::CallerGone(request));
+        world.handle(Event::CallerDisconnected(request));
         world.run(20_000);
     }
 }
