--- a/src/gateway/dispatch/replicas.rs
+++ b/src/gateway/dispatch/replicas.rs
@@ -79,7 +79,7 @@
         let Some(active) = request
             .active
             .as_ref()
-            .filter(|_| may_have_replicas(request))
+            .filter(|_| may_take_snapshot(request))
         else {
             return;
         };
@@ -87,18 +87,25 @@
             return;
         }
         let snapshot = active.snapshot.as_ref();
-        let of_mirror = self.independence(active.mirror.as_ref(), active);
-        let of_snapshot = self.independence(snapshot.map(|s| &s.host), active);
-        if of_mirror == Independence::Safe && snapshot.is_some() {
+        let mirror_independence = self.independence(active.mirror.as_ref(), active);
+        let snapshot_independence = self.independence(snapshot.map(|s| &s.host), active);
+        if mirror_independence == Independence::Safe && snapshot.is_some() {
             self.discard_snapshot(number);
             return;
         }
         let host = match snapshot {
-            Some(snapshot) if of_snapshot == Independence::Safe && of_snapshot > of_mirror => {
+            Some(snapshot)
+                if snapshot_independence == Independence::Safe
+                    && snapshot_independence > mirror_independence =>
+            {
                 let is_old = now.since(snapshot.taken_at) >= SNAPSHOT_INTERVAL;
                 is_old.then(|| snapshot.host.id.clone())
             }
-            _ => self.better_host(request, active, of_mirror.max(of_snapshot)),
+            _ => self.better_host(
+                request,
+                active,
+                mirror_independence.max(snapshot_independence),
+            ),
         };
         match host {
             Some(host) => self.request_snapshot(number, &host),
@@ -380,7 +387,7 @@
 }
 
 /// Whether the engine takes snapshots and the request may run again after its active attempt.
-fn may_have_replicas(request: &Request) -> bool {
+fn may_take_snapshot(request: &Request) -> bool {
     request.engine.is_some_and(|engine| engine.snapshots) && request.may_run_after_active()
 }
 
