--- a/src/gateway/dispatch.rs
+++ b/src/gateway/dispatch.rs
@@ -321,7 +321,10 @@
             }
             Event::Peer(state) => self.on_peer(&state),
             Event::PeerUsage(news) => self.on_peer_usage(&news),
-            Event::PeerCrashes { domain, update: news } => self.on_peer_crashes(domain.as_ref(), &news),
+            Event::PeerCrashes {
+                domain,
+                update: news,
+            } => self.on_peer_crashes(domain.as_ref(), &news),
             Event::PeerUsageCounts(news) => self.on_peer_began(&news),
             Event::PeerHolder(holder) => self.on_peer_holder(&holder),
             Event::PeerLimits(news) => self.on_peer_limits(&news),
--- a/src/gateway/dispatch/duties.rs
+++ b/src/gateway/dispatch/duties.rs
@@ -69,13 +69,15 @@
             let news = duty.news(now);
             let to = self.store_watchers.addresses(self.now);
             if !to.is_empty() {
-                self.actions.push(Action::PublishUsageCounts { to, update: news });
+                self.actions
+                    .push(Action::PublishUsageCounts { to, update: news });
             }
         }
         let domain_news = duty.domain_news(&self.cfg.domain, now);
         if let Some((holder, news)) = domain_news.filter(|_| self.watches_rollouts) {
             let to = vec![holder];
-            self.actions.push(Action::PublishUsageCounts { to, update: news });
+            self.actions
+                .push(Action::PublishUsageCounts { to, update: news });
         }
         self.do_duty();
     }
--- a/src/gateway/dispatch/endpoint_restart.rs
+++ b/src/gateway/dispatch/endpoint_restart.rs
@@ -46,7 +46,8 @@
             let Some(spec) = self.fleet.get(&ended.id).map(|e| e.spec.clone()) else {
                 continue;
             };
-            self.actions.push(Action::CloseIdleConnections(spec.address));
+            self.actions
+                .push(Action::CloseIdleConnections(spec.address));
             self.record(Record::Reborn {
                 endpoint: ended.id.to_string(),
                 before: ended.born.map(|born| born.0),
--- a/src/gateway/dispatch/gossip.rs
+++ b/src/gateway/dispatch/gossip.rs
@@ -105,7 +105,11 @@
             samples,
             rollouts: self.rollout_notes(),
         };
-        self.actions.push(Action::GossipUsage { to, update: news, crashes });
+        self.actions.push(Action::GossipUsage {
+            to,
+            update: news,
+            crashes,
+        });
         if self.quarantine.has_unpublished() {
             self.publish_immediately();
         }
--- a/src/gateway/dispatch/permits.rs
+++ b/src/gateway/dispatch/permits.rs
@@ -158,7 +158,7 @@
     }
 
     fn send_limit_update(&mut self, to: Vec<SocketAddr>, update: LimitUpdate) {
-        self.actions.push(Action::PublishLimits { to, update: news: update });
+        self.actions.push(Action::PublishLimits { to, update });
     }
 
     fn empty_limit_update(&self) -> LimitUpdate {
--- a/src/gateway/shell/control.rs
+++ b/src/gateway/shell/control.rs
@@ -157,7 +157,11 @@
                 let datagram = datagram.and_then(|message| datagram::with_holder(message, holder));
                 self.spawn(peers::send(gossip, to, datagram, shared));
             }
-            Action::GossipUsage { to, update: news, crashes } => {
+            Action::GossipUsage {
+                to,
+                update: news,
+                crashes,
+            } => {
                 let datagram = datagram::write_usage(&news, &crashes);
                 self.spawn(peers::send(gossip, to, datagram, shared));
             }
--- a/src/gateway/shell/datagram.rs
+++ b/src/gateway/shell/datagram.rs
@@ -136,7 +136,10 @@
         if section.kind == CRASHES {
             let news = read_content(&section)?;
             let domain = domain.clone();
-            events.push(Event::PeerCrashes { domain, update: news });
+            events.push(Event::PeerCrashes {
+                domain,
+                update: news,
+            });
         } else if section.kind == HOLDER {
             events.push(Event::PeerHolder(read_content(&section)?));
         } else if section.kind == BEGAN {
