--- a/lab/src/gateway/rollout/fleet/setup.rs
+++ b/lab/src/gateway/rollout/fleet/setup.rs
@@ -5,7 +5,7 @@
 
 use magpiemoor::gateway::dispatch::DispatchConfig;
 use magpiemoor::gateway::dispatch::retry_budget::RetryPolicy;
-use magpiemoor::gateway::dispatch::rollout::canary::SAFE_PART;
+use magpiemoor::gateway::dispatch::rollout::canary::MAX_CANARY_FRACTION;
 use magpiemoor::gateway::dispatch::rollout::exposure::ExposureLimit;
 use magpiemoor::gateway::dispatch::table::{
     CallerLimits, EngineSpec, Route, RouteKind, RoutingTable, ServiceSpec, TableParts,
@@ -30,7 +30,7 @@
 pub(super) fn config(number: usize, case: &Case) -> DispatchConfig {
     let seeds = (0..3.min(case.boxes)).map(address).collect();
     let share = match case.decider {
-        Decider::AllAtOnce => 1.0 / SAFE_PART,
+        Decider::AllAtOnce => 1.0 / MAX_CANARY_FRACTION,
         _ => EXPOSURE_SHARE,
     };
     DispatchConfig {
--- a/src/gateway/dispatch/attempts.rs
+++ b/src/gateway/dispatch/attempts.rs
@@ -79,7 +79,7 @@
             self.placer.choose(&self.fleet, demand, self.now)
         };
         let chosen = choose(self.rules_for(request));
-        let chosen = chosen.or_else(|| choose(self.other_rules_for(request)?));
+        let chosen = chosen.or_else(|| choose(self.fallback_rules_for(request)?));
         chosen.map(|e| e.spec.id.clone())
     }
 
@@ -289,7 +289,7 @@
 
     /// Refuses a request and stops its attempt.
     pub(super) fn give_up(&mut self, number: RequestNumber, reason: RefusalReason) {
-        self.sample_given_up(number);
+        self.sample_abandoned(number);
         let Some(request) = self.requests.remove(&number) else {
             return;
         };
--- a/src/gateway/dispatch/gossip.rs
+++ b/src/gateway/dispatch/gossip.rs
@@ -103,7 +103,7 @@
             answers,
             totals: self.budget.totals(self.now),
             samples,
-            rollouts: self.rollout_notes(),
+            rollouts: self.rollout_progress(),
         };
         self.actions.push(Action::GossipUsage {
             to,
@@ -120,7 +120,7 @@
         self.fleet.on_peer_answers(&news.answers, self.now);
         self.budget
             .on_peer_totals(&news.from, &news.totals, self.now);
-        self.on_rollout_news(news);
+        self.on_peer_rollout_update(news);
     }
 
     /// Has peers told before it is due.
@@ -269,7 +269,7 @@
         self.budget
             .on_peer_totals(&state.from, &state.totals, self.now);
         self.store_watchers.on_told(&state.readers, self.now);
-        self.on_told_rollouts(state);
+        self.on_peer_rollouts(state);
         if state.table_version < self.table_version().0 {
             self.tell(state);
         }
--- a/src/gateway/dispatch/replicas.rs
+++ b/src/gateway/dispatch/replicas.rs
@@ -194,7 +194,7 @@
         let now = self.now;
         // A single failed connection does not mean that the host has lost its replicas.
         let seems_lost = !host.takes_work()
-            || self.is_left(host)
+            || self.is_leaving_version(host)
             || self.fleet.is_suspected(host, now)
             || self.fleet.is_unreachable(host, now);
         if seems_lost {
--- a/src/gateway/dispatch/rollout.rs
+++ b/src/gateway/dispatch/rollout.rs
@@ -1,24 +1,26 @@
-//! Roll-outs: how a service moves to endpoints of another version, and back if that one is bad.
+//! Roll-outs: the state machine that moves a service to endpoints of another version, and back if
+//! that version is bad.
 //!
-//! An operator's order names a service, a version and a time. The endpoints of that version stand
-//! beside the others already. All boxes take part in the decision and none keeps it: what endpoints
-//! answered is pooled ([`evidence`]), each box judges it by itself ([`verdict`]), and a phase that one
-//! box has entered is told to all, who enter it too. A later phase is never left for an earlier one.
+//! Input is an operator's order, which names a service, a target version and a duration. The
+//! endpoints of the target version already run next to the others. All boxes take part in the
+//! decision and none owns it: boxes pool the results of attempts ([`evidence`]), each box judges
+//! the pooled results by itself ([`verdict`]), and a box that enters a phase publishes it to all
+//! boxes, which enter it too. Phases are ordered, and a box never goes back to an earlier one.
 //!
 //! | phase | new work goes to | entered when |
 //! |---|---|---|
 //! | `canary` | endpoints of other versions, a small share to the target ([`canary`]) | the order is seen |
-//! | `switch` | the target; streams elsewhere go on there | a box that watches roll-outs finds nothing held against the target shortly before the time is over |
-//! | `bad` | endpoints of other versions only | any box finds the target bad, unless it is committed |
-//! | `committed` | the target | no box has work elsewhere, and the store is asked to say so |
-//! | `completed`, `rolled_back` | the target; others | the store's object says so |
+//! | `switch` | the target; running streams move there | shortly before the order's time ends, a box that watches roll-outs judges the target sound |
+//! | `bad` | endpoints of other versions only | any box judges the target bad, unless the roll-out is committed |
+//! | `committed` | the target | no box has attempts at other versions; the status in the store is to be written |
+//! | `completed`, `rolled_back` | the target; other versions | the object in the store says so |
 //!
-//! The store's object is the only memory: a fleet that starts anew finds orders there, and which of
-//! them are finished. Its status is written under the revision that was read, so of two that write one
-//! wins, and a write that comes late changes nothing. Boxes that don't watch the store believe in an
-//! order for [`VOUCHED_FOR`] after a box that does has vouched for it.
+//! The object in the store is the only durable state: after a restart of all boxes, they read from
+//! it which orders exist and which are finished. A status write names the revision that was read,
+//! so of two concurrent writes one wins, and a late write changes nothing. A box that doesn't watch
+//! the store keeps an order for [`CONFIRMATION_VALID_FOR`] after a watching box last confirmed_at it.
 //!
-//! Weighed in docs/design/rollouts.md.
+//! Alternatives are discussed in docs/design/rollouts.md.
 
 pub mod canary;
 pub mod evidence;
@@ -47,201 +49,211 @@
 pub use order::RolloutOrder;
 pub use rules::{VersionRule, VersionRules};
 
-/// How long a box believes in an order that no box which watches roll-outs vouches for: longer than
-/// new ones need to step in for watchers that died (some 5 s).
-const VOUCHED_FOR: Duration = Duration::from_secs(30);
-/// How long before the end of its time streams elsewhere leave for the target: a snapshot and a message
-/// around all boxes take less.
-const LEAVE_BEFORE_END: Duration = Duration::from_secs(1);
-/// How long streams elsewhere stay where they are once an order switches that is late already: most
-/// end by themselves, and need not be moved.
-const LEAVE_LATE_AFTER: Duration = Duration::from_millis(3_500);
-/// How long prompts meet at engines after a switch: they have been read by then, and boxes know of each
-/// other's.
-const HERD_FOR: Duration = Duration::from_millis(2_500);
-/// How long the target has all requests before the roll-out is committed: what fails under the whole
-/// load only shows by then.
-const LEAST_SWITCH: Duration = Duration::from_millis(600);
-/// How long a phase has lasted before a box says that it has left the other versions: requests that
-/// were placed before are counted by then.
+/// How long an order stays valid without confirmation by a box that watches roll-outs. Replacing
+/// failed watchers takes some 5 s.
+const CONFIRMATION_VALID_FOR: Duration = Duration::from_secs(30);
+/// How long before the end of the order's time streams at other versions move to the target. Taking
+/// a snapshot and sending a message to all boxes take less.
+const STREAMS_LEAVE_BEFORE_END: Duration = Duration::from_secs(1);
+/// How long streams stay at other versions after a switch that happens after the order's time. Most
+/// end on their own within it and need not be moved.
+const STREAMS_LEAVE_LATE_AFTER: Duration = Duration::from_millis(3_500);
+/// How long after a switch prompts pile up at the same engines. By then engines have read those
+/// prompts, and boxes know of each other's placements.
+const HERD_DURATION: Duration = Duration::from_millis(2_500);
+/// How long the target receives all requests before the roll-out is committed. Faults that occur
+/// only under the full load show within it.
+const MIN_SWITCH_DURATION: Duration = Duration::from_millis(600);
+/// How long a phase must have lasted before a box reports that it has left the other versions.
+/// Requests placed before the phase began are counted by then.
 const PHASE_SETTLED_AFTER: Duration = Duration::from_millis(100);
-/// How long a box that had to send a request to another version, since no endpoint of the target
-/// took it, doesn't say that it has left the others.
-const FELL_BACK_FOR: Duration = Duration::from_millis(500);
-/// Least time between two looks at the evidence.
-const JUDGE_EVERY: Duration = Duration::from_millis(100);
+/// How long a box doesn't report that it has left the other versions after it had to send a request
+/// to one of them because no endpoint of the target accepted it.
+const FALLBACK_BLOCKS_LEAVING_FOR: Duration = Duration::from_millis(500);
+/// Minimum time between two judgements of the evidence.
+const JUDGE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How far another box is.
+/// The state of a roll-out at another box of the same failure domain.
 #[derive(Clone, Copy, Debug)]
-struct Noted {
+struct PeerProgress {
     phase: RolloutPhase,
-    is_clear: bool,
+    has_left: bool,
 }
 
-/// What follows for the box when roll-outs are looked at.
+/// What the dispatcher has to do after a roll-out was evaluated or updated.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Step {
+pub enum Effect {
     /// A roll-out has entered a phase.
     Entered {
-        /// The service.
+        /// The service that is rolled out.
         service: ServiceId,
-        /// The version.
+        /// The version that the service moves to.
         target: VersionId,
-        /// The phase.
+        /// The phase entered, always later than the previous one.
         phase: RolloutPhase,
-        /// Why, for operators.
+        /// The reason, for operators.
         why: String,
     },
-    /// This box has left the other versions: its domain is to know at once.
-    Left,
-    /// All boxes of the own domain have: other domains are to know at once.
-    DomainLeft,
-    /// The status of an object is to be written.
-    Write(status::StatusWrite),
+    /// This box has left the other versions: report it to its failure domain at once.
+    LeftOthers,
+    /// All boxes of this failure domain have left the other versions: report it to the other
+    /// domains at once.
+    DomainLeftOthers,
+    /// Write the status of an object to the store.
+    WriteStatus(status::StatusWrite),
 }
 
-/// A time in whole milliseconds, as peers tell it; one over 49 days counts as 49 days.
-fn whole_millis(time: Duration) -> u32 {
+/// A duration in whole milliseconds, as messages between boxes carry it; saturates at about 49
+/// days.
+fn saturating_millis(time: Duration) -> u32 {
     u32::try_from(time.as_millis()).unwrap_or(u32::MAX)
 }
 
-/// One roll-out.
+/// The state of one roll-out at this box.
 #[derive(Debug)]
 pub struct Rollout {
     order: RolloutOrder,
-    /// When the order was first seen by any box, as far as this one knows.
-    seen_first: Micros,
-    /// When a box that watches roll-outs vouched for it last.
-    vouched: Micros,
+    /// Earliest time at which any box saw the order, as far as this box knows.
+    first_seen: Micros,
+    /// Time of the last confirmation by a box that watches roll-outs.
+    confirmed_at: Micros,
     phase: RolloutPhase,
     phase_since: Micros,
-    judged: Micros,
-    /// Whether nothing spoke against the target when it was judged last.
+    judged_at: Micros,
+    /// Whether the last verdict was [`verdict::Verdict::Sound`].
     is_sound: bool,
     canaries: Canaries,
-    /// The shares of the routes whose requests are too few for the canary's ordinary one, by series.
+    /// Canary shares of the routes that have too few requests for the ordinary share, by series.
     low_traffic_routes: BTreeMap<u32, f64>,
     evidence: Evidence,
-    /// Whether this box has left the other versions for good. It says so, and the others may then stop at
-    /// any time: without this a box behind a cut link went back to them after it had said so, and the
-    /// request was cut (emulator of roll-outs, 12 boxes, seed 4, a domain cut at the end).
+    /// Whether this box has left the other versions. Never reset: once it is reported, other boxes
+    /// may stop serving the other versions at any time. When a box behind a cut link went back to
+    /// another version after it had reported this, its request was cut (roll-out emulator, 12
+    /// boxes, seed 4, one domain cut off at the end).
     has_left: bool,
-    /// Whether other domains were told at once that all boxes of the own one have left them.
-    has_told_clear: bool,
-    /// When a request went to another version last, since no endpoint of the target took it.
-    fell_back: Option<Micros>,
-    boxes: BTreeMap<SocketAddr, Noted>,
-    /// Whether all boxes of other domains have left the other versions, and when they said so.
-    clear_domains: BTreeMap<DomainId, (Micros, bool)>,
+    /// Whether it was published to the other domains that all boxes of this one have left the other
+    /// versions.
+    has_published_domain_left: bool,
+    /// Time of the last attempt at another version after the switch, made because no endpoint of
+    /// the target accepted it.
+    fell_back_at: Option<Micros>,
+    peers: BTreeMap<SocketAddr, PeerProgress>,
+    /// For each other domain, the time of its last report and whether all its boxes have left the
+    /// other versions.
+    left_domains: BTreeMap<DomainId, (Micros, bool)>,
     object: Option<ObjectState>,
     writes: StatusWrites,
 }
 
-/// What a box knows beyond the roll-out when it decides.
+/// Inputs to a decision from outside the roll-out.
 #[derive(Clone, Copy, Debug)]
-pub struct Surroundings<'a> {
-    /// The endpoints.
+pub struct RolloutContext<'a> {
+    /// All known endpoints.
     pub fleet: &'a Fleet,
-    /// The own failure domain.
+    /// The failure domain of this box.
     pub domain: &'a DomainId,
-    /// The running boxes of it, this one left out.
-    pub near: &'a [SocketAddr],
-    /// The failure domains with running boxes, the own one left out.
-    pub others: &'a [DomainId],
-    /// Whether this box watches roll-outs for its domain.
+    /// Running boxes of this failure domain, except this one.
+    pub local_peers: &'a [SocketAddr],
+    /// Failure domains with running boxes, except this one.
+    pub other_domains: &'a [DomainId],
+    /// Whether this box watches roll-outs in the store for its domain.
     pub is_watching: bool,
     /// Whether the service has model engines.
     pub has_engines: bool,
-    /// How long a request runs that has to go on elsewhere when it leaves its endpoint: nothing for
-    /// calls, which end where they are.
-    pub moved: Duration,
+    /// Expected run time of a request that has to move to the target; zero for calls, which end at
+    /// the endpoint where they started.
+    pub stream_time: Duration,
     /// Attempts of this box at endpoints of the service with other versions than the target.
-    pub elsewhere: usize,
+    pub attempts_elsewhere: usize,
 }
 
 impl Rollout {
-    fn new(order: RolloutOrder, seen_first: Micros, now: Micros) -> Self {
+    fn new(order: RolloutOrder, first_seen: Micros, now: Micros) -> Self {
         Self {
             order,
-            seen_first,
-            vouched: now,
+            first_seen,
+            confirmed_at: now,
             phase: RolloutPhase::Canary,
             phase_since: now,
-            judged: Micros::ZERO,
+            judged_at: Micros::ZERO,
             is_sound: false,
             canaries: Canaries::default(),
             low_traffic_routes: BTreeMap::new(),
             evidence: Evidence::default(),
             has_left: false,
-            has_told_clear: false,
-            fell_back: None,
-            boxes: BTreeMap::new(),
-            clear_domains: BTreeMap::new(),
+            has_published_domain_left: false,
+            fell_back_at: None,
+            peers: BTreeMap::new(),
+            left_domains: BTreeMap::new(),
             object: None,
             writes: StatusWrites::default(),
         }
     }
 
-    /// The order.
+    /// The order that this roll-out carries out.
     #[must_use]
     pub fn order(&self) -> &RolloutOrder {
         &self.order
     }
 
-    /// How far it is.
+    /// The current phase.
     #[must_use]
     pub fn phase(&self) -> RolloutPhase {
         self.phase
     }
 
-    /// Since when it is that far.
+    /// Time at which this box entered the current phase.
     #[must_use]
     pub fn phase_since(&self) -> Micros {
         self.phase_since
     }
 
-    /// Since when streams at other versions are to leave, if they are.
+    /// Time from which streams at other versions are to move to the target; `None` in phases that
+    /// don't leave the other versions.
     #[must_use]
     pub fn leaving_since(&self) -> Option<Micros> {
-        let end = self.seen_first.after(self.order.duration);
+        let end = self.first_seen.after(self.order.duration);
         let at = if self.phase_since >= end {
-            self.phase_since.after(LEAVE_LATE_AFTER)
+            self.phase_since.after(STREAMS_LEAVE_LATE_AFTER)
         } else {
-            end.before(LEAVE_BEFORE_END).max(self.phase_since)
+            end.before(STREAMS_LEAVE_BEFORE_END).max(self.phase_since)
         };
         self.leaves_others().then_some(at)
     }
 
-    /// What is known of its endpoints' answers.
+    /// The results of attempts that the roll-out is judged by.
     #[must_use]
     pub fn evidence(&self) -> &Evidence {
         &self.evidence
     }
 
-    /// What is known of its endpoints' answers, to add to it.
+    /// Mutable access to the evidence, to add results.
     pub fn evidence_mut(&mut self) -> &mut Evidence {
         &mut self.evidence
     }
 
-    /// Whether its endpoints' answers are of interest.
+    /// Whether results of attempts are collected and judged in the current phase.
     #[must_use]
     pub fn is_judged(&self) -> bool {
         matches!(self.phase, RolloutPhase::Canary | RolloutPhase::Switch)
     }
 
-    /// Whether an answer tells of the version now. Just after a switch all boxes choose among engines that
-    /// all look free, so prompts meet there, and streams are slow by each other's prompts.
+    /// Whether a result is counted now. Just after a switch all boxes choose among engines that all
+    /// appear idle, so prompts pile up at some of them and slow down each other's streams; slow
+    /// events are not counted for [`HERD_DURATION`] then.
     #[must_use]
-    pub fn tells(&self, timed: Timed, step: u8, now: Micros) -> bool {
-        let is_herd = self.phase == RolloutPhase::Switch && now.since(self.phase_since) < HERD_FOR;
+    pub fn counts_result(&self, timed: Timed, bucket: u8, now: Micros) -> bool {
+        let is_herd =
+            self.phase == RolloutPhase::Switch && now.since(self.phase_since) < HERD_DURATION;
         match timed {
             Timed::FirstEvent => self.phase == RolloutPhase::Canary,
-            Timed::Event => self.is_judged() && (step == FAILED || !is_herd),
+            Timed::Event => self.is_judged() && (bucket == FAILED || !is_herd),
             Timed::Call => self.is_judged(),
         }
     }
 
-    /// Whether the store says how it ended: nothing is to be found out or done any more.
+    /// Whether the object in the store says that the roll-out has ended, so that nothing is left to
+    /// decide or do.
     #[must_use]
     pub fn is_finished(&self) -> bool {
         matches!(
@@ -250,26 +262,26 @@
         )
     }
 
-    /// Whether new work is to leave other versions than the target.
+    /// Whether new work avoids all versions but the target.
     #[must_use]
     pub fn leaves_others(&self) -> bool {
         use RolloutPhase::{Committed, Completed, Switch};
         matches!(self.phase, Switch | Committed | Completed)
     }
 
-    /// The probability with which a request that comes now goes to the target; `series` is that of its
-    /// route's answers.
+    /// The probability with which a request that arrives now goes to the target; `series` is the
+    /// series of its route's results.
     #[must_use]
     pub fn canary_share(&self, series: u32, now: Micros) -> f64 {
         if self.phase != RolloutPhase::Canary || self.canaries.endpoints().is_empty() {
             return 0.0;
         }
-        let of_all = self.canaries.share(now.since(self.seen_first));
+        let ordinary = self.canaries.share(now.since(self.first_seen));
         let of_route = self.low_traffic_routes.get(&series).copied();
-        of_route.map_or(of_all, |share| share.max(of_all))
+        of_route.map_or(ordinary, |share| share.max(ordinary))
     }
 
-    /// Where a request may go.
+    /// Which endpoints may take the attempts and replicas of a request.
     #[must_use]
     pub fn rules(&self, is_canary: bool) -> VersionRules<'_> {
         let target = &self.order.target;
@@ -290,8 +302,8 @@
         VersionRules { attempts, replicas }
     }
 
-    /// Where an attempt may go if nothing that [`Self::rules`] admits takes it. `has_others` tells
-    /// whether an endpoint of another version than the target takes work.
+    /// Which endpoints may take an attempt if none that [`Self::rules`] admits accepts it.
+    /// `has_others` tells whether an endpoint of another version than the target accepts work.
     #[must_use]
     pub fn fallback(&self, is_canary: bool, has_others: bool) -> Option<VersionRules<'_>> {
         let rules = self.rules(false);
@@ -307,14 +319,14 @@
         }
     }
 
-    /// Enters a phase if it is a later one.
-    fn enter(&mut self, phase: RolloutPhase, why: String, now: Micros, steps: &mut Vec<Step>) {
+    /// Enters `phase` if it is later than the current one.
+    fn enter(&mut self, phase: RolloutPhase, why: String, now: Micros, effects: &mut Vec<Effect>) {
         if phase <= self.phase {
             return;
         }
         self.phase = phase;
         self.phase_since = now;
-        steps.push(Step::Entered {
+        effects.push(Effect::Entered {
             service: self.order.service.clone(),
             target: self.order.target.clone(),
             phase,
@@ -322,138 +334,153 @@
         });
     }
 
-    /// Looks at the evidence, the time and the other boxes.
+    /// Judges the evidence if that is due, and enters the phases that follow from it, the time and
+    /// the reports of other boxes.
     fn evaluate(
         &mut self,
         limit: ExposureLimit,
-        around: &Surroundings<'_>,
+        context: &RolloutContext<'_>,
         now: Micros,
-    ) -> Vec<Step> {
-        let mut steps = Vec::new();
-        if around.is_watching && self.object.is_some() {
-            self.vouched = now;
+    ) -> Vec<Effect> {
+        let mut effects = Vec::new();
+        if context.is_watching && self.object.is_some() {
+            self.confirmed_at = now;
         }
-        if self.is_judged() && now.since(self.judged) >= JUDGE_EVERY {
-            self.judged = now;
-            self.judge(limit, around, now, &mut steps);
+        if self.is_judged() && now.since(self.judged_at) >= JUDGE_INTERVAL {
+            self.judged_at = now;
+            self.judge(limit, context, now, &mut effects);
         }
-        if !self.has_left && self.may_leave(around.elsewhere, now) {
+        if !self.has_left && self.may_leave(context.attempts_elsewhere, now) {
             self.has_left = true;
-            steps.push(Step::Left);
+            effects.push(Effect::LeftOthers);
         }
-        if !self.has_told_clear && around.is_watching && self.is_domain_clear(around) {
-            self.has_told_clear = true;
-            steps.push(Step::DomainLeft);
+        if !self.has_published_domain_left && context.is_watching && self.has_domain_left(context) {
+            self.has_published_domain_left = true;
+            effects.push(Effect::DomainLeftOthers);
         }
-        let is_tried = now.since(self.phase_since) >= LEAST_SWITCH;
-        let is_switched = self.phase == RolloutPhase::Switch && is_tried;
-        if is_switched && self.is_sound && around.is_watching && self.is_clear(around) {
-            let why = "no box has work at other versions".to_owned();
-            self.enter(RolloutPhase::Committed, why, now, &mut steps);
+        let has_run_long_enough = now.since(self.phase_since) >= MIN_SWITCH_DURATION;
+        let is_switched = self.phase == RolloutPhase::Switch && has_run_long_enough;
+        if is_switched
+            && self.is_sound
+            && context.is_watching
+            && self.have_all_domains_left(context)
+        {
+            let why = "no box has attempts at other versions".to_owned();
+            self.enter(RolloutPhase::Committed, why, now, &mut effects);
         }
-        if let Some(object) = self.object.as_ref().filter(|_| around.is_watching) {
-            let write = self.writes.next(self.phase, object, around, now);
-            steps.extend(write.map(Step::Write));
+        if let Some(object) = self.object.as_ref().filter(|_| context.is_watching) {
+            let write = self.writes.next(self.phase, object, context, now);
+            effects.extend(write.map(Effect::WriteStatus));
         }
-        steps
+        effects
     }
 
-    /// Whether this box runs nothing at other versions and can do without them.
-    fn may_leave(&self, elsewhere: usize, now: Micros) -> bool {
+    /// Whether this box has no attempts at other versions and hasn't lately needed one.
+    fn may_leave(&self, attempts_elsewhere: usize, now: Micros) -> bool {
         let is_settled = now.since(self.phase_since) >= PHASE_SETTLED_AFTER;
-        let needs_others = self
-            .fell_back
-            .is_some_and(|at| now.since(at) < FELL_BACK_FOR);
-        self.leaves_others() && is_settled && elsewhere == 0 && !needs_others
+        let needed_others = self
+            .fell_back_at
+            .is_some_and(|at| now.since(at) < FALLBACK_BLOCKS_LEAVING_FOR);
+        self.leaves_others() && is_settled && attempts_elsewhere == 0 && !needed_others
     }
 
-    /// Notes that an attempt begins at an endpoint of a version.
+    /// Records that an attempt starts at an endpoint of `version`.
     pub fn on_attempt(&mut self, version: &VersionId, now: Micros) {
         if self.leaves_others() && *version != self.order.target {
-            self.fell_back = Some(now);
+            self.fell_back_at = Some(now);
         }
     }
 
-    /// Whether all running boxes of the own domain have left the other versions.
-    fn is_domain_clear(&self, around: &Surroundings<'_>) -> bool {
-        let is_clear = |address: &SocketAddr| {
-            let noted = self.boxes.get(address);
-            noted.is_some_and(|noted| noted.is_clear && noted.phase >= RolloutPhase::Switch)
+    /// Whether all running boxes of this failure domain have left the other versions.
+    fn has_domain_left(&self, context: &RolloutContext<'_>) -> bool {
+        let has_left = |address: &SocketAddr| {
+            let peer = self.peers.get(address);
+            peer.is_some_and(|peer| peer.has_left && peer.phase >= RolloutPhase::Switch)
         };
-        self.has_left && around.near.iter().all(is_clear)
+        self.has_left && context.local_peers.iter().all(has_left)
     }
 
-    /// Whether all running boxes of all domains have.
-    fn is_clear(&self, around: &Surroundings<'_>) -> bool {
-        let is_clear = |domain: &DomainId| {
-            let told = self.clear_domains.get(domain);
-            told.is_some_and(|(_, is_clear)| *is_clear)
+    /// Whether all running boxes of all failure domains have left the other versions.
+    fn have_all_domains_left(&self, context: &RolloutContext<'_>) -> bool {
+        let has_left = |domain: &DomainId| {
+            let reported = self.left_domains.get(domain);
+            reported.is_some_and(|(_, has_left)| *has_left)
         };
-        self.is_domain_clear(around) && around.others.iter().all(is_clear)
+        self.has_domain_left(context) && context.other_domains.iter().all(has_left)
     }
 
-    /// What the boxes of a failure domain are told of it.
-    fn told_to(&self, domain: &DomainId, around: &Surroundings<'_>, now: Micros) -> RolloutState {
-        let age = |at: Micros| whole_millis(now.since(at));
+    /// The state of this roll-out to publish to the boxes of `domain`.
+    fn state_for(
+        &self,
+        domain: &DomainId,
+        context: &RolloutContext<'_>,
+        now: Micros,
+    ) -> RolloutState {
+        let age = |at: Micros| saturating_millis(now.since(at));
         RolloutState {
             service: self.order.service.clone(),
             order: self.order.id,
             target: self.order.target.clone(),
-            duration_ms: whole_millis(self.order.duration),
-            age_ms: age(self.seen_first),
-            seen_ms: age(self.vouched),
+            duration_ms: saturating_millis(self.order.duration),
+            age_ms: age(self.first_seen),
+            seen_ms: age(self.confirmed_at),
             phase: self.phase,
-            tallies: self.tallies_for(domain, around, now),
+            tallies: self.tallies_for(domain, context, now),
         }
     }
 
-    /// The answers that the boxes of a failure domain are told of. Of a finished roll-out there are
-    /// none: its object may stay in the store for weeks, and some 60 bytes for each series and domain
-    /// would go with each message.
+    /// The results to publish to the boxes of `domain`: none for a finished roll-out, since its
+    /// object may stay in the store for weeks and each message would carry some 60 bytes per series
+    /// and domain.
     fn tallies_for(
         &self,
         domain: &DomainId,
-        around: &Surroundings<'_>,
+        context: &RolloutContext<'_>,
         now: Micros,
     ) -> Vec<DomainTally> {
         let mut tallies = Vec::new();
         if self.is_finished() {
             return tallies;
         }
-        if domain == around.domain {
-            tallies.extend(self.evidence.of_others(now));
+        if domain == context.domain {
+            tallies.extend(self.evidence.other_tallies(now));
         } else if self.is_judged() || self.leaves_others() {
-            tallies.push(self.evidence.of_own(around.domain));
+            tallies.push(self.evidence.own_tally(context.domain));
         }
         for tally in &mut tallies {
-            tally.is_clear = if tally.domain == *around.domain {
-                self.is_domain_clear(around)
+            tally.is_clear = if tally.domain == *context.domain {
+                self.has_domain_left(context)
             } else {
-                let told = self.clear_domains.get(&tally.domain);
-                told.is_some_and(|(_, is_clear)| *is_clear)
+                let reported = self.left_domains.get(&tally.domain);
+                reported.is_some_and(|(_, has_left)| *has_left)
             };
         }
         tallies
     }
 
-    /// Takes in what a box told of this order.
-    fn on_told(&mut self, told: &RolloutState, own: &DomainId, now: Micros) -> Vec<Step> {
-        let mut steps = Vec::new();
+    /// Merges the state of this order that a peer reported.
+    fn on_peer_state(&mut self, state: &RolloutState, own: &DomainId, now: Micros) -> Vec<Effect> {
+        let mut effects = Vec::new();
         let at = |age_ms: u32| now.before(Duration::from_millis(age_ms.into()));
-        self.seen_first = self.seen_first.min(at(told.age_ms));
-        self.vouched = self.vouched.max(at(told.seen_ms));
-        for tally in told.tallies.iter().filter(|tally| tally.domain != *own) {
+        self.first_seen = self.first_seen.min(at(state.age_ms));
+        self.confirmed_at = self.confirmed_at.max(at(state.seen_ms));
+        for tally in state.tallies.iter().filter(|tally| tally.domain != *own) {
             self.on_tally(tally, at(tally.age_ms));
         }
-        self.enter(told.phase, "told by a peer".to_owned(), now, &mut steps);
-        steps
+        self.enter(
+            state.phase,
+            "reported by a peer".to_owned(),
+            now,
+            &mut effects,
+        );
+        effects
     }
 
     fn on_tally(&mut self, tally: &DomainTally, at: Micros) {
-        let known = self.clear_domains.get(&tally.domain);
+        let known = self.left_domains.get(&tally.domain);
         if known.is_none_or(|(known, _)| *known < at) {
-            let clear = (at, tally.is_clear);
-            self.clear_domains.insert(tally.domain.clone(), clear);
+            let report = (at, tally.is_clear);
+            self.left_domains.insert(tally.domain.clone(), report);
         }
         self.evidence.on_tally(tally, at);
     }
--- a/src/gateway/dispatch/rollout/evidence.rs
+++ b/src/gateway/dispatch/rollout/evidence.rs
@@ -1,12 +1,15 @@
-//! What endpoints answered since an order, pooled over boxes and failure domains.
+//! The evidence of a roll-out: results of attempts since the order, pooled over boxes and failure
+//! domains.
 //!
-//! Answers of one kind form a series: those of a route, by the time that a call took, that a stream's
-//! first event took for a thousand tokens of its prompt, or that one of its events took. A box counts
-//! its own answers and those that the boxes of its domain tell; of other domains it is told the sums.
-//! Times are kept in steps of half an octave, so that no typical time has to be known beforehand, and
-//! by endpoint for the target, so that the fault of one endpoint can be told from that of a version.
+//! Results of one kind form a series: those of one route by the duration of calls, by the time to a
+//! stream's first event per thousand tokens of its prompt, or by the time per event of a stream. A
+//! box counts its own results and those that boxes of its failure domain report; other domains
+//! report their sums. Times are counted in histogram buckets of half an octave, so that no typical
+//! time has to be known in advance. Times of the target are counted per endpoint, so that a fault
+//! of one endpoint can be told from one of the version.
 //!
-//! Owns: the counts, and what was known some seconds ago, since a version may turn bad late.
+//! State: the counts, and snapshots of the counts of the last seconds, since a version may turn bad
+//! late.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -18,38 +21,38 @@
     AnswerTimes, DomainId, DomainTally, EndpointId, Micros, RolloutSample, SeriesTally,
 };
 
-/// The step that stands for an answer that failed.
+/// The bucket number of a failed attempt.
 pub const FAILED: u8 = u8::MAX;
-/// Steps of time: from 1 ms to half a minute and more.
-const STEPS: usize = 31;
-/// Steps for each doubling of the time.
-const STEPS_PER_DOUBLING: f64 = 2.0;
-/// How far back the newer part of the evidence reaches: it must hold some answers of the target,
-/// and few from before a version turned bad.
-const RECENT: Duration = Duration::from_secs(4);
-/// How often the counts are kept to be compared with.
-const KEEP_EVERY: Duration = Duration::from_millis(500);
-
-/// What of an answer is timed.
+/// Number of time buckets; they range from 1 ms to half a minute and more.
+const BUCKETS: usize = 31;
+/// Buckets per doubling of the time.
+const BUCKETS_PER_DOUBLING: f64 = 2.0;
+/// Length of the recent evidence: long enough for some answers of the target, and short enough for
+/// few from before a version turned bad.
+const RECENT_WINDOW: Duration = Duration::from_secs(4);
+/// Time between two snapshots of the counts.
+const SNAPSHOT_INTERVAL: Duration = Duration::from_millis(500);
+
+/// The kinds of time that are measured.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Timed {
-    /// A whole call, in milliseconds.
+    /// Duration of a whole call, in milliseconds.
     Call = 1,
-    /// A stream's first event, in milliseconds for a thousand tokens of the prompt.
+    /// Time to a stream's first event, in milliseconds per thousand tokens of the prompt.
     FirstEvent = 2,
-    /// A stream's events, in milliseconds each.
+    /// Time per event of a stream, in milliseconds.
     Event = 3,
 }
 
 impl Timed {
-    /// What is counted of each attempt once, whether or not its first event is.
+    /// The kind that is counted once for each attempt, whether or not its first event is.
     #[must_use]
     pub fn of_attempt(is_stream: bool) -> Self {
         if is_stream { Self::Event } else { Self::Call }
     }
 }
 
-/// What of an attempt was counted: each once.
+/// The kinds already counted for an attempt; each is counted at most once.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Sampled {
     call: bool,
@@ -58,7 +61,8 @@
 }
 
 impl Sampled {
-    /// What is counted of an attempt at an endpoint where tokens of other prompts are before its own.
+    /// The initial value for an attempt at an endpoint where `tokens` tokens of other prompts are
+    /// queued before its own: the first event isn't counted if there are any.
     #[must_use]
     pub fn behind(tokens: u32) -> Self {
         Self {
@@ -67,7 +71,7 @@
         }
     }
 
-    /// Notes that something is counted; returns whether it was not before.
+    /// Marks a kind as counted; returns whether it was not counted before.
     pub fn take(&mut self, timed: Timed) -> bool {
         let known = match timed {
             Timed::Call => &mut self.call,
@@ -78,66 +82,66 @@
     }
 }
 
-/// Bits of a series' name that tell what is timed.
+/// Low bits of a series' name that hold its kind of time.
 const TIMED_BITS: u32 = 2;
 
-/// The name of a series.
+/// The name of the series of a route and a kind of time.
 #[must_use]
 pub fn series_of(route: &str, timed: Timed) -> u32 {
     let route = xxh3_64(route.as_bytes()) as u32;
     route << TIMED_BITS | timed as u32
 }
 
-/// Whether a series is of something that is timed.
+/// Whether a series is of the given kind of time.
 #[must_use]
-pub fn is_of(series: u32, timed: Timed) -> bool {
+pub fn series_is(series: u32, timed: Timed) -> bool {
     series & ((1 << TIMED_BITS) - 1) == timed as u32
 }
 
-/// The step of a time.
+/// The histogram bucket of a time.
 #[must_use]
-pub fn step_of(millis: f64) -> u8 {
-    let step = STEPS_PER_DOUBLING * millis.max(1.0).log2();
-    (step as usize).min(STEPS - 1) as u8
+pub fn bucket_of(millis: f64) -> u8 {
+    let bucket = BUCKETS_PER_DOUBLING * millis.max(1.0).log2();
+    (bucket as usize).min(BUCKETS - 1) as u8
 }
 
 impl AnswerTimes {
-    /// Counts an answer.
-    pub fn add(&mut self, step: u8) {
-        if step == FAILED {
+    /// Counts one answer.
+    pub fn add(&mut self, bucket: u8) {
+        if bucket == FAILED {
             self.failed = self.failed.saturating_add(1);
             return;
         }
-        let step = usize::from(step).min(STEPS - 1);
-        if self.took.len() <= step {
-            self.took.resize(step + 1, 0);
+        let bucket = usize::from(bucket).min(BUCKETS - 1);
+        if self.took.len() <= bucket {
+            self.took.resize(bucket + 1, 0);
         }
-        self.took[step] = self.took[step].saturating_add(1);
+        self.took[bucket] = self.took[bucket].saturating_add(1);
     }
 
-    /// Counts the answers of another count too.
+    /// Adds the counts of another histogram.
     pub fn add_all(&mut self, other: &Self) {
         self.failed = self.failed.saturating_add(other.failed);
         if self.took.len() < other.took.len() {
-            self.took.resize(other.took.len().min(STEPS), 0);
+            self.took.resize(other.took.len().min(BUCKETS), 0);
         }
         for (own, other) in self.took.iter_mut().zip(&other.took) {
             *own = own.saturating_add(*other);
         }
     }
 
-    /// What has come since an earlier count.
+    /// The difference to an earlier state of the same histogram.
     #[must_use]
     pub fn since(&self, earlier: &Self) -> Self {
-        let before = earlier.took.iter().copied().chain(std::iter::repeat(0));
-        let took = self.took.iter().zip(before);
+        let previous = earlier.took.iter().copied().chain(std::iter::repeat(0));
+        let took = self.took.iter().zip(previous);
         Self {
             failed: self.failed.saturating_sub(earlier.failed),
             took: took.map(|(now, then)| now.saturating_sub(then)).collect(),
         }
     }
 
-    /// All answers.
+    /// Number of all answers, including failed ones.
     #[must_use]
     pub fn all(&self) -> u32 {
         self.took
@@ -145,7 +149,7 @@
             .fold(self.failed, |sum, more| sum.saturating_add(*more))
     }
 
-    /// Answers that failed, or took a step of time or a longer one.
+    /// Number of answers that failed or whose time is in bucket `slow_from` or a later one.
     #[must_use]
     pub fn bad(&self, slow_from: usize) -> u32 {
         let slow = self.took.iter().skip(slow_from);
@@ -153,57 +157,57 @@
     }
 }
 
-/// The answers of a series in the own domain.
+/// Answers of a series in this failure domain.
 #[derive(Clone, Debug, Default)]
-struct Own {
+struct OwnSeries {
     baseline: AnswerTimes,
     target: BTreeMap<EndpointId, AnswerTimes>,
 }
 
-/// What another domain told.
+/// The last report of another failure domain.
 #[derive(Clone, Debug)]
-struct Told {
+struct DomainReport {
     at: Micros,
     series: Vec<SeriesTally>,
 }
 
-/// What gets new work beside the target.
+/// Whether versions other than the target still get new work.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Beside {
-    /// Other versions.
-    Others,
-    /// Nothing: the service has switched.
-    Nothing,
+pub enum BaselineTraffic {
+    /// The other versions get new work.
+    Ongoing,
+    /// Only the target gets new work: the service has switched.
+    Stopped,
 }
 
-/// Requests to a service since an order.
+/// Numbers of requests to a service since an order.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Requests {
-    /// All of them.
+pub struct RequestCounts {
+    /// Requests to all versions.
     pub all: f64,
-    /// Those to the target.
+    /// Requests to the target.
     pub of_target: f64,
-    /// How many come in a second lately.
+    /// Requests per second, lately.
     pub rate: f64,
 }
 
-/// Counts of all series, by failure domain.
+/// Counts by series and failure domain.
 type Counts = BTreeMap<u32, BTreeMap<DomainId, SeriesTally>>;
 
-/// What is known of the answers.
+/// All results known to this box.
 #[derive(Debug, Default)]
 pub struct Evidence {
-    own: BTreeMap<u32, Own>,
-    others: BTreeMap<DomainId, Told>,
-    kept: VecDeque<(Micros, Counts)>,
-    /// The steps from which times are slow, by series, when the evidence was judged last.
+    own: BTreeMap<u32, OwnSeries>,
+    others: BTreeMap<DomainId, DomainReport>,
+    snapshots: VecDeque<(Micros, Counts)>,
+    /// For each series, the bucket from which its times are slow, as of the last verdict.
     slow_from: BTreeMap<u32, usize>,
-    /// Answers of this box that peers have not been told of.
+    /// Results of this box that have not been published to peers.
     unpublished: Vec<RolloutSample>,
 }
 
 impl Evidence {
-    /// Counts an answer that an endpoint gave to a box of the own domain.
+    /// Counts a result that a box of this failure domain got from an endpoint.
     pub fn on_sample(&mut self, sample: &RolloutSample, is_target: bool) {
         let own = self.own.entry(sample.series).or_default();
         let times = if is_target {
@@ -214,25 +218,25 @@
         times.add(sample.step);
     }
 
-    /// Counts an answer that this box got itself, and keeps it to be told.
+    /// Counts a result that this box got itself and queues it for publication.
     pub fn on_own_sample(&mut self, sample: RolloutSample, is_target: bool) {
         self.on_sample(&sample, is_target);
         self.unpublished.push(sample);
     }
 
-    /// Whether a step of time is slow for a series.
+    /// Whether times in `bucket` are slow for a series.
     #[must_use]
-    pub fn is_slow(&self, series: u32, step: u8) -> bool {
+    pub fn is_slow(&self, series: u32, bucket: u8) -> bool {
         let slow_from = self.slow_from.get(&series);
-        slow_from.is_some_and(|from| usize::from(step) >= *from)
+        slow_from.is_some_and(|from| usize::from(bucket) >= *from)
     }
 
-    /// The answers of this box since this was asked last, to be told.
+    /// Removes and returns the unpublished results of this box.
     pub fn take_unpublished(&mut self) -> Vec<RolloutSample> {
         std::mem::take(&mut self.unpublished)
     }
 
-    /// Takes in what another domain knows; what is older than what is known is of no use.
+    /// Replaces the report of another domain, unless the known one is as new.
     pub fn on_tally(&mut self, tally: &DomainTally, at: Micros) {
         let known = self.others.get(&tally.domain);
         if known.is_some_and(|known| known.at >= at) {
@@ -240,12 +244,12 @@
         }
         let series = tally.series.clone();
         self.others
-            .insert(tally.domain.clone(), Told { at, series });
+            .insert(tally.domain.clone(), DomainReport { at, series });
     }
 
-    /// The sums of the own domain, to be told to others.
+    /// The sums of this failure domain, to publish to other domains.
     #[must_use]
-    pub fn of_own(&self, domain: &DomainId) -> DomainTally {
+    pub fn own_tally(&self, domain: &DomainId) -> DomainTally {
         let series = self.own.iter().map(|(series, own)| own.sums(*series));
         DomainTally {
             domain: domain.clone(),
@@ -255,22 +259,22 @@
         }
     }
 
-    /// What other domains told, to be told inside the own one.
+    /// The last reports of other domains, to publish within this one.
     #[must_use]
-    pub fn of_others(&self, now: Micros) -> Vec<DomainTally> {
-        let told = self.others.iter().map(|(domain, told)| DomainTally {
+    pub fn other_tallies(&self, now: Micros) -> Vec<DomainTally> {
+        let tallies = self.others.iter().map(|(domain, report)| DomainTally {
             domain: domain.clone(),
-            age_ms: super::whole_millis(now.since(told.at)),
+            age_ms: super::saturating_millis(now.since(report.at)),
             is_clear: false,
-            series: told.series.clone(),
+            series: report.series.clone(),
         });
-        told.collect()
+        tallies.collect()
     }
 
     fn counts(&self, domain: &DomainId) -> Counts {
         let mut counts = Counts::new();
-        let own = self.of_own(domain);
-        let others = self.others.iter().map(|(of, told)| (of, &told.series));
+        let own = self.own_tally(domain);
+        let others = self.others.iter().map(|(of, report)| (of, &report.series));
         for (of, series) in others.chain([(domain, &own.series)]) {
             for tally in series {
                 let by_domain = counts.entry(tally.series).or_default();
@@ -280,12 +284,13 @@
         counts
     }
 
-    /// How many requests came since the order, as far as they are counted: each attempt at a call, and
-    /// each stream from its first events on. `None` before there is an earlier count to tell the rate.
+    /// Numbers of requests since the order, as far as they are counted: each attempt at a call, and
+    /// each stream once its first events have come. `None` until there is an earlier snapshot to
+    /// compute the rate from.
     #[must_use]
-    pub fn requests(&self, domain: &DomainId, now: Micros) -> Option<Requests> {
+    pub fn request_counts(&self, domain: &DomainId, now: Micros) -> Option<RequestCounts> {
         let routes = self.routes(domain, now);
-        routes.into_values().reduce(|sum, of| Requests {
+        routes.into_values().reduce(|sum, of| RequestCounts {
             all: sum.all + of.all,
             of_target: sum.of_target + of.of_target,
             rate: sum.rate + of.rate,
@@ -294,20 +299,20 @@
 
     /// The same for each route, by the series of its attempts.
     #[must_use]
-    pub fn routes(&self, domain: &DomainId, now: Micros) -> BTreeMap<u32, Requests> {
-        let mut kept = self.kept.iter();
-        let earlier = kept.find(|(at, _)| now.since(*at) <= RECENT && now > *at);
+    pub fn routes(&self, domain: &DomainId, now: Micros) -> BTreeMap<u32, RequestCounts> {
+        let mut snapshots = self.snapshots.iter();
+        let earlier = snapshots.find(|(at, _)| now.since(*at) <= RECENT_WINDOW && now > *at);
         let Some((at, then)) = earlier else {
             return BTreeMap::new();
         };
         let since = now.since(*at).as_secs_f64();
         let counts = self.counts(domain).into_iter();
-        let of_attempts = counts.filter(|(series, _)| !is_of(*series, Timed::FirstEvent));
+        let of_attempts = counts.filter(|(series, _)| !series_is(*series, Timed::FirstEvent));
         let routes = of_attempts.map(|(series, by_domain)| {
             let (all, of_target) = attempts(&by_domain);
             let before = then.get(&series).map_or(0.0, |then| attempts(then).0);
             let rate = (all - before).max(0.0) / since;
-            let requests = Requests {
+            let requests = RequestCounts {
                 all,
                 of_target,
                 rate,
@@ -317,32 +322,39 @@
         routes.collect()
     }
 
-    /// What is to be held of the target now, by all that is known and by its newer part; `beside` tells
-    /// whether other versions get new work too.
-    pub fn verdict(&mut self, domain: &DomainId, beside: Beside, now: Micros) -> Verdict {
+    /// The verdict on the target by all results and by the recent ones. `baseline_traffic` tells
+    /// whether the other versions still get new work.
+    pub fn verdict(
+        &mut self,
+        domain: &DomainId,
+        baseline_traffic: BaselineTraffic,
+        now: Micros,
+    ) -> Verdict {
         let counts = self.counts(domain);
-        let earlier = self.kept.iter().rev();
-        let mut earlier = earlier.filter(|(at, _)| now.since(*at) >= RECENT);
-        let recent = earlier.next().map(|(_, then)| newer(&counts, then, beside));
+        let earlier = self.snapshots.iter().rev();
+        let mut earlier = earlier.filter(|(at, _)| now.since(*at) >= RECENT_WINDOW);
+        let recent = earlier
+            .next()
+            .map(|(_, then)| counts_since(&counts, then, baseline_traffic));
         let all = series(&counts);
         self.slow_from = all.iter().filter_map(Series::slow_from).collect();
         let verdict = judge(&all, recent.as_ref().map(series).as_deref());
         let is_due = self
-            .kept
+            .snapshots
             .back()
-            .is_none_or(|(at, _)| now.since(*at) >= KEEP_EVERY);
+            .is_none_or(|(at, _)| now.since(*at) >= SNAPSHOT_INTERVAL);
         if is_due {
-            self.kept.push_back((now, counts));
-            let is_old = |(at, _): &(Micros, Counts)| now.since(*at) > RECENT * 2;
-            while self.kept.front().is_some_and(is_old) {
-                self.kept.pop_front();
+            self.snapshots.push_back((now, counts));
+            let is_old = |(at, _): &(Micros, Counts)| now.since(*at) > RECENT_WINDOW * 2;
+            while self.snapshots.front().is_some_and(is_old) {
+                self.snapshots.pop_front();
             }
         }
         verdict
     }
 }
 
-impl Own {
+impl OwnSeries {
     fn sums(&self, series: u32) -> SeriesTally {
         let mut target = AnswerTimes::default();
         for times in self.target.values() {
@@ -361,7 +373,7 @@
     }
 }
 
-/// The attempts of a series, and those at the target.
+/// Number of attempts of a series, and of those at the target.
 fn attempts(by_domain: &BTreeMap<DomainId, SeriesTally>) -> (f64, f64) {
     let tallies = by_domain.values();
     tallies.fold((0.0, 0.0), |(all, of_target), tally| {
@@ -371,8 +383,8 @@
     })
 }
 
-/// What has come since earlier counts.
-fn newer(counts: &Counts, then: &Counts, beside: Beside) -> Counts {
+/// The counts that have come since an earlier snapshot.
+fn counts_since(counts: &Counts, then: &Counts, baseline_traffic: BaselineTraffic) -> Counts {
     let since = |series: &u32, domain: &DomainId, now: &SeriesTally| {
         let then = then.get(series).and_then(|by_domain| by_domain.get(domain));
         then.map_or_else(
@@ -381,7 +393,12 @@
                 let target = now.target.since(&then.target);
                 SeriesTally {
                     series: *series,
-                    baseline: measure(&now.baseline, &then.baseline, &target, beside),
+                    baseline: recent_baseline(
+                        &now.baseline,
+                        &then.baseline,
+                        &target,
+                        baseline_traffic,
+                    ),
                     target,
                     worst: now.worst.since(&then.worst),
                     servers: now.servers,
@@ -389,28 +406,29 @@
             },
         )
     };
-    let newer = counts.iter().map(|(series, by_domain)| {
+    let counts = counts.iter().map(|(series, by_domain)| {
         let by_domain = by_domain.iter();
         let by_domain = by_domain.map(|(domain, now)| (domain.clone(), since(series, domain, now)));
         (*series, by_domain.collect())
     });
-    newer.collect()
+    counts.collect()
 }
 
-/// The baseline of the newer part: its newer answers, unless new work goes to the target alone or they
-/// are fewer than the target's. A few last answers are no measure for many, and those of endpoints that
-/// empty are faster than any before.
-fn measure(
+/// The baseline to compare recent answers of the target with: the recent baseline answers, or all
+/// of them if new work goes to the target alone or if fewer recent ones came than of the target. A
+/// few last answers are no basis for judging many, and endpoints that run empty answer faster than
+/// before.
+fn recent_baseline(
     baseline: &AnswerTimes,
     then: &AnswerTimes,
     target: &AnswerTimes,
-    beside: Beside,
+    baseline_traffic: BaselineTraffic,
 ) -> AnswerTimes {
-    let newer = baseline.since(then);
-    if beside == Beside::Nothing || newer.all() < target.all() {
+    let recent = baseline.since(then);
+    if baseline_traffic == BaselineTraffic::Stopped || recent.all() < target.all() {
         baseline.clone()
     } else {
-        newer
+        recent
     }
 }
 
--- a/src/gateway/dispatch/rollout/judging.rs
+++ b/src/gateway/dispatch/rollout/judging.rs
@@ -1,27 +1,28 @@
-//! What a box makes of the evidence: how much a version gets, and which phase follows.
+//! Decisions on a roll-out from its evidence: the share of requests that the target gets, and the
+//! phase that follows.
 //!
-//! Owns: nothing; the state is the roll-out's.
+//! State: none; [`Rollout`] owns it.
 
 use std::time::Duration;
 
 use super::canary::CanaryShare;
-use super::evidence::Beside;
+use super::evidence::BaselineTraffic;
 use super::exposure::{ExposureLimit, Forecast};
 use super::verdict::Verdict;
-use super::{Rollout, Step, Surroundings};
+use super::{Effect, Rollout, RolloutContext};
 use crate::schema::{DomainId, Micros, RolloutPhase};
 
-/// How long before the end of its time an order for plain endpoints switches. Calls end meanwhile, all
-/// boxes say so, and the store is told; each request until then goes to a version that may still turn
-/// bad.
+/// How long before the end of its time an order for plain endpoints switches. Within it calls end,
+/// all boxes report so, and the store is told. Not longer, as each request to the target until then
+/// meets a version that may still prove bad.
 const SWITCH_BEFORE_END: Duration = Duration::from_millis(900);
 /// The same for model engines: replicas of streams have to be made at the target first.
 const SWITCH_ENGINES_BEFORE_END: Duration = Duration::from_secs(2);
-/// How long after the order the rate of its service's requests is known.
+/// How long after the order the request rate of its service is known.
 const RATE_KNOWN_AFTER: Duration = Duration::from_secs(2);
-/// The part of an order's time for which a box must have looked on before it takes the target for sound:
-/// one that has just started knows little, and after a loss of all boxes nobody knows more.
-const LEAST_OBSERVED: f64 = 0.5;
+/// Fraction of the order's time for which a box must have observed the roll-out before it switches.
+/// A box that has just started knows little, and after a loss of all boxes none knows more.
+const MIN_OBSERVED_FRACTION: f64 = 0.5;
 
 /// How long before the end of an order's time its service switches.
 fn switch_before_end(has_engines: bool) -> Duration {
@@ -33,30 +34,31 @@
 }
 
 impl Rollout {
-    /// Judges the target, shares the requests anew, and enters the phase that follows.
+    /// Judges the target, computes its share of the requests anew, and enters the phase that
+    /// follows.
     pub(super) fn judge(
         &mut self,
         limit: ExposureLimit,
-        around: &Surroundings<'_>,
+        context: &RolloutContext<'_>,
         now: Micros,
-        steps: &mut Vec<Step>,
+        effects: &mut Vec<Effect>,
     ) {
-        let beside = if self.leaves_others() {
-            Beside::Nothing
+        let baseline_traffic = if self.leaves_others() {
+            BaselineTraffic::Stopped
         } else {
-            Beside::Others
+            BaselineTraffic::Ongoing
         };
-        let verdict = self.evidence.verdict(around.domain, beside, now);
-        let forecast = self.forecast(limit, around, now);
-        let share = self.share_requests(limit, forecast.as_ref(), around.domain, now);
+        let verdict = self.evidence.verdict(context.domain, baseline_traffic, now);
+        let forecast = self.forecast(limit, context, now);
+        let share = self.choose_shares(limit, forecast.as_ref(), context.domain, now);
         self.canaries
-            .choose(share, &self.order, around.fleet, around.domain);
+            .choose(share, &self.order, context.fleet, context.domain);
         let fits = forecast.is_some_and(|forecast| limit.covers_switch(&forecast));
-        self.follow(&verdict, fits, around, now, steps);
+        self.enter_next_phase(&verdict, fits, context, now, effects);
     }
 
-    /// Shares the requests anew between the canary and the other versions.
-    fn share_requests(
+    /// Computes the shares of requests that the canary endpoints get.
+    fn choose_shares(
         &mut self,
         limit: ExposureLimit,
         forecast: Option<&Forecast>,
@@ -69,70 +71,71 @@
         if let Some(forecast) = forecast {
             let routes = self.evidence.routes(domain, now);
             self.low_traffic_routes = limit.low_traffic_routes(forecast, &routes);
-            let more = self.low_traffic_routes.iter().map(|(series, share)| {
+            let extra = self.low_traffic_routes.iter().map(|(series, share)| {
                 let of_route = routes.get(series).map_or(0.0, |route| route.rate);
                 (share - ordinary) * of_route / forecast.rate.max(f64::MIN_POSITIVE)
             });
-            of_all += more.sum::<f64>();
+            of_all += extra.sum::<f64>();
         }
         CanaryShare { ordinary, of_all }
     }
 
-    /// What is known and foreseen of the requests, once their rate is known. A box that has seen a part
-    /// of the time only takes the target to have got its whole share meanwhile.
+    /// The requests so far and those expected until the end of the order's time; `None` until the
+    /// request rate is known. A box that has observed only a part of the time assumes that the
+    /// target got its whole share in the rest.
     fn forecast(
         &self,
         limit: ExposureLimit,
-        around: &Surroundings<'_>,
+        context: &RolloutContext<'_>,
         now: Micros,
     ) -> Option<Forecast> {
-        let elapsed = now.since(self.seen_first);
+        let elapsed = now.since(self.first_seen);
         if elapsed < RATE_KNOWN_AFTER {
             return None;
         }
-        let counted = self.evidence.requests(around.domain, now)?;
-        let unseen = self.phase_since.since(self.seen_first).as_secs_f64();
-        let missed = counted.rate * unseen * limit.canary_share(None);
+        let counts = self.evidence.request_counts(context.domain, now)?;
+        let unobserved = self.phase_since.since(self.first_seen).as_secs_f64();
+        let assumed = counts.rate * unobserved * limit.canary_share(None);
         Some(Forecast {
-            requests: counted.all,
-            exposed: counted.of_target + missed,
-            rate: counted.rate,
-            left: self.order.duration.saturating_sub(elapsed),
-            switch: switch_before_end(around.has_engines),
-            moved: around.moved,
+            requests: counts.all,
+            exposed: counts.of_target + assumed,
+            rate: counts.rate,
+            time_left: self.order.duration.saturating_sub(elapsed),
+            switch_time: switch_before_end(context.has_engines),
+            stream_time: context.stream_time,
         })
     }
 
-    /// Enters the phase that the evidence and the time ask for. `fits` tells whether the switch stays
-    /// within the limit on exposure; after the order's time it needn't.
-    fn follow(
+    /// Enters the phase that the verdict and the time call for. `fits` tells whether the switch
+    /// stays within the exposure limit; it need not once the order's time is over.
+    fn enter_next_phase(
         &mut self,
         verdict: &Verdict,
         fits: bool,
-        around: &Surroundings<'_>,
+        context: &RolloutContext<'_>,
         now: Micros,
-        steps: &mut Vec<Step>,
+        effects: &mut Vec<Effect>,
     ) {
         self.is_sound = matches!(verdict, Verdict::Sound { .. });
         if let Verdict::Bad { why } = verdict {
-            self.enter(RolloutPhase::Bad, why.clone(), now, steps);
+            self.enter(RolloutPhase::Bad, why.clone(), now, effects);
             return;
         }
-        let before_end = switch_before_end(around.has_engines);
-        let at = self.order.duration.saturating_sub(before_end);
+        let before_end = switch_before_end(context.has_engines);
+        let switch_at = self.order.duration.saturating_sub(before_end);
         let observed = now.since(self.phase_since);
-        let elapsed = now.since(self.seen_first);
-        let is_time = elapsed >= self.order.duration || elapsed >= at && fits;
-        let is_observed = observed >= self.order.duration.mul_f64(LEAST_OBSERVED);
+        let elapsed = now.since(self.first_seen);
+        let is_due = elapsed >= self.order.duration || elapsed >= switch_at && fits;
+        let is_observed = observed >= self.order.duration.mul_f64(MIN_OBSERVED_FRACTION);
         let has_target = self.canaries.has_target();
         if let Verdict::Sound { why } = verdict
             && self.phase == RolloutPhase::Canary
-            && around.is_watching
-            && is_time
+            && context.is_watching
+            && is_due
             && is_observed
             && has_target
         {
-            self.enter(RolloutPhase::Switch, why.clone(), now, steps);
+            self.enter(RolloutPhase::Switch, why.clone(), now, effects);
         }
     }
 }
--- a/src/gateway/dispatch/rollout/known.rs
+++ b/src/gateway/dispatch/rollout/known.rs
@@ -1,214 +1,230 @@
-//! The roll-outs that a box knows of, one for a service, by the store's objects or by peers.
+//! The set of roll-outs that a box knows, at most one per service, read from the store or reported
+//! by peers.
 //!
-//! An order that this box reads from the store itself is not replaced by a peer's word; of two that
-//! peers tell, the one that was vouched for later counts.
+//! A peer's report doesn't replace an order that this box reads from the store itself. Of two
+//! different orders that peers report, the one confirmed later replaces the other.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 use super::exposure::ExposureLimit;
 use super::status::{ObjectState, RolloutStatus};
-use super::{Noted, Rollout, RolloutOrder, Step, Surroundings, VOUCHED_FOR};
+use super::{CONFIRMATION_VALID_FOR, Effect, PeerProgress, Rollout, RolloutContext, RolloutOrder};
 use crate::gateway::dispatch::roster::unpack_address;
 use crate::schema::{DomainId, Micros, RolloutPhase, RolloutProgress, RolloutState, ServiceId};
 
-/// All roll-outs that a box knows of: one for a service.
+/// All roll-outs that a box knows, at most one per service.
 #[derive(Debug)]
 pub struct Rollouts {
     limit: ExposureLimit,
-    known: BTreeMap<ServiceId, Rollout>,
+    by_service: BTreeMap<ServiceId, Rollout>,
 }
 
 impl Rollouts {
-    /// None yet; `limit` bounds the requests that a version gets before its order's time is over.
+    /// An empty set; `limit` bounds the requests that a version gets before its order's time is
+    /// over.
     #[must_use]
     pub fn new(limit: ExposureLimit) -> Self {
         Self {
             limit,
-            known: BTreeMap::new(),
+            by_service: BTreeMap::new(),
         }
     }
 
-    /// Whether there is none.
+    /// Whether no roll-out is known.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.known.is_empty()
+        self.by_service.is_empty()
     }
 
-    /// Whether anything is to be found out or done for any of them.
+    /// Whether all known roll-outs are finished, so that nothing is left to decide or do.
     #[must_use]
     pub fn is_at_rest(&self) -> bool {
-        self.known.values().all(Rollout::is_finished)
+        self.by_service.values().all(Rollout::is_finished)
     }
 
-    /// The roll-out of a service.
+    /// The roll-out of a service, if there is one.
     #[must_use]
     pub fn of(&self, service: &ServiceId) -> Option<&Rollout> {
-        self.known.get(service)
+        self.by_service.get(service)
     }
 
-    /// The roll-out of a service, to add to its evidence.
+    /// Mutable access to the roll-out of a service, to add to its evidence.
     pub fn of_mut(&mut self, service: &ServiceId) -> Option<&mut Rollout> {
-        self.known.get_mut(service)
+        self.by_service.get_mut(service)
     }
 
-    /// Iterates over all.
+    /// Iterates over all roll-outs in the order of their services.
     pub fn iter(&self) -> impl Iterator<Item = &Rollout> {
-        self.known.values()
+        self.by_service.values()
     }
 
-    /// Takes in objects of the store: all there are, or those that changed and those that are gone.
+    /// Merges objects read from the store. If `is_complete`, `objects` are all there are; else they
+    /// are the changed ones, and `removed` names the services whose objects were deleted.
     pub fn on_objects(
         &mut self,
         objects: Vec<ObjectState>,
-        gone: &[ServiceId],
-        is_whole: bool,
+        removed: &[ServiceId],
+        is_complete: bool,
         now: Micros,
-    ) -> Vec<Step> {
-        if is_whole {
+    ) -> Vec<Effect> {
+        if is_complete {
             let named: BTreeSet<&ServiceId> = objects.iter().map(|o| &o.order.service).collect();
-            self.known.retain(|service, _| named.contains(service));
+            self.by_service.retain(|service, _| named.contains(service));
         }
-        for service in gone {
-            self.known.remove(service);
+        for service in removed {
+            self.by_service.remove(service);
         }
-        let steps = objects
+        let effects = objects
             .into_iter()
             .map(|object| self.on_object(object, now));
-        steps.flatten().collect()
+        effects.flatten().collect()
     }
 
-    fn on_object(&mut self, object: ObjectState, now: Micros) -> Vec<Step> {
-        let mut steps = Vec::new();
-        // Whoever began it is gone, and nobody tells when that was: all boxes have started again.
-        let is_begun = object.status == Some(RolloutStatus::InProgress);
-        let half = if is_begun {
+    fn on_object(&mut self, object: ObjectState, now: Micros) -> Vec<Effect> {
+        let mut effects = Vec::new();
+        // An order in progress that this box doesn't know yet was started by boxes that have
+        // exited, as after a restart of all boxes, and its start time is unknown: assume that half
+        // of its time has passed.
+        let is_in_progress = object.status == Some(RolloutStatus::InProgress);
+        let assumed_elapsed = if is_in_progress {
             object.order.duration / 2
         } else {
             Duration::ZERO
         };
-        let known = self.begin(&object.order, now.before(half), now);
-        known.vouched = now;
+        let known = self.begin(&object.order, now.before(assumed_elapsed), now);
+        known.confirmed_at = now;
         known.writes.on_object(object.revision);
         if let Some(phase) = object.final_phase() {
-            let why = "by the store".to_owned();
-            known.enter(phase, why, now, &mut steps);
+            let why = "according to the store".to_owned();
+            known.enter(phase, why, now, &mut effects);
         }
         known.object = Some(object);
-        steps
+        effects
     }
 
-    /// The roll-out of an order, which takes the place of an earlier order for the service.
-    fn begin(&mut self, order: &RolloutOrder, seen_first: Micros, now: Micros) -> &mut Rollout {
+    /// Returns the roll-out of `order`, which replaces a different order for the service.
+    fn begin(&mut self, order: &RolloutOrder, first_seen: Micros, now: Micros) -> &mut Rollout {
         let service = order.service.clone();
         let is_known = self
-            .known
+            .by_service
             .get(&service)
             .is_some_and(|known| known.order.id == order.id);
         if !is_known {
-            let new = Rollout::new(order.clone(), seen_first, now);
-            self.known.insert(service.clone(), new);
+            let new = Rollout::new(order.clone(), first_seen, now);
+            self.by_service.insert(service.clone(), new);
         }
-        // It was inserted just now if it was not there.
-        self.known
+        // The branch above has inserted it if it was not known.
+        self.by_service
             .entry(service)
-            .or_insert_with(|| Rollout::new(order.clone(), seen_first, now))
+            .or_insert_with(|| Rollout::new(order.clone(), first_seen, now))
     }
 
-    /// Takes in what a box told of roll-outs. An order that this box reads from the store itself is not
-    /// replaced by a peer's word.
-    pub fn on_told(&mut self, told: &[RolloutState], own: &DomainId, now: Micros) -> Vec<Step> {
-        let mut steps = Vec::new();
-        for told in told {
-            let vouched = Duration::from_millis(told.seen_ms.into());
-            let known = self.known.get(&told.service);
+    /// Merges the roll-outs that a peer reported. A report doesn't replace an order that this box
+    /// reads from the store itself.
+    pub fn on_peer_states(
+        &mut self,
+        states: &[RolloutState],
+        own: &DomainId,
+        now: Micros,
+    ) -> Vec<Effect> {
+        let mut effects = Vec::new();
+        for state in states {
+            let confirmed_ago = Duration::from_millis(state.seen_ms.into());
+            let known = self.by_service.get(&state.service);
             let is_other = known.is_some_and(|known| {
-                let is_older = now.before(vouched) <= known.vouched;
-                known.order.id != told.order && (known.object.is_some() || is_older)
+                let is_older = now.before(confirmed_ago) <= known.confirmed_at;
+                known.order.id != state.order && (known.object.is_some() || is_older)
             });
-            if is_other || vouched >= VOUCHED_FOR {
+            if is_other || confirmed_ago >= CONFIRMATION_VALID_FOR {
                 continue;
             }
             let order = RolloutOrder {
-                service: told.service.clone(),
-                target: told.target.clone(),
-                duration: Duration::from_millis(told.duration_ms.into()),
-                id: told.order,
+                service: state.service.clone(),
+                target: state.target.clone(),
+                duration: Duration::from_millis(state.duration_ms.into()),
+                id: state.order,
             };
-            let seen_first = now.before(Duration::from_millis(told.age_ms.into()));
-            let is_new = known.is_none_or(|known| known.order.id != told.order);
-            let known = self.begin(&order, seen_first, now);
+            let first_seen = now.before(Duration::from_millis(state.age_ms.into()));
+            let is_new = known.is_none_or(|known| known.order.id != state.order);
+            let known = self.begin(&order, first_seen, now);
             if is_new {
-                known.vouched = now.before(vouched);
+                known.confirmed_at = now.before(confirmed_ago);
             }
-            steps.extend(known.on_told(told, own, now));
+            effects.extend(known.on_peer_state(state, own, now));
         }
-        steps
+        effects
     }
 
-    /// Takes in how far boxes of the own domain are.
-    pub fn on_notes(&mut self, notes: &[RolloutProgress], now: Micros) -> Vec<Step> {
-        let mut steps = Vec::new();
-        for note in notes {
-            let known = self.known.get_mut(&note.service);
-            let Some(known) = known.filter(|known| known.order.id == note.order) else {
+    /// Merges the progress that boxes of the same failure domain reported.
+    pub fn on_peer_progress(&mut self, reports: &[RolloutProgress], now: Micros) -> Vec<Effect> {
+        let mut effects = Vec::new();
+        for report in reports {
+            let known = self.by_service.get_mut(&report.service);
+            let Some(known) = known.filter(|known| known.order.id == report.order) else {
                 continue;
             };
-            known.enter(note.phase, "told by a peer".to_owned(), now, &mut steps);
-            if let Some(address) = unpack_address(&note.address) {
-                let far = Noted {
-                    phase: note.phase,
-                    is_clear: note.is_clear,
+            known.enter(
+                report.phase,
+                "reported by a peer".to_owned(),
+                now,
+                &mut effects,
+            );
+            if let Some(address) = unpack_address(&report.address) {
+                let progress = PeerProgress {
+                    phase: report.phase,
+                    has_left: report.is_clear,
                 };
-                known.boxes.insert(address, far);
+                known.peers.insert(address, progress);
             }
         }
-        steps
+        effects
     }
 
-    /// Looks at a roll-out, with what the box knows around it.
+    /// Evaluates the roll-out of a service.
     pub fn evaluate(
         &mut self,
         service: &ServiceId,
-        around: &Surroundings<'_>,
+        context: &RolloutContext<'_>,
         now: Micros,
-    ) -> Vec<Step> {
+    ) -> Vec<Effect> {
         let limit = self.limit;
-        let known = self.known.get_mut(service);
-        known.map_or_else(Vec::new, |known| known.evaluate(limit, around, now))
+        let known = self.by_service.get_mut(service);
+        known.map_or_else(Vec::new, |known| known.evaluate(limit, context, now))
     }
 
-    /// Forgets the orders that nobody vouches for.
+    /// Removes orders that no box confirms any more.
     pub fn forget_old(&mut self, now: Micros) {
-        self.known
-            .retain(|_, known| known.object.is_some() || now.since(known.vouched) < VOUCHED_FOR);
+        self.by_service.retain(|_, known| {
+            known.object.is_some() || now.since(known.confirmed_at) < CONFIRMATION_VALID_FOR
+        });
     }
 
-    /// Forgets what was read from the store, since another box reads it now.
+    /// Drops the objects read from the store, because another box watches it now.
     pub fn stop_watching(&mut self) {
-        for known in self.known.values_mut() {
+        for known in self.by_service.values_mut() {
             known.object = None;
         }
     }
 
-    /// What the boxes of a failure domain are told of a roll-out.
+    /// The state of a roll-out to publish to the boxes of `domain`.
     #[must_use]
-    pub fn told_to(
+    pub fn state_for(
         &self,
         service: &ServiceId,
         domain: &DomainId,
-        around: &Surroundings<'_>,
+        context: &RolloutContext<'_>,
         now: Micros,
     ) -> Option<RolloutState> {
-        let known = self.known.get(service)?;
-        Some(known.told_to(domain, around, now))
+        let known = self.by_service.get(service)?;
+        Some(known.state_for(domain, context, now))
     }
 
-    /// How far this box is with a roll-out that leaves other versions, or was found bad; none of one
-    /// that is finished.
+    /// This box's progress to publish for a roll-out that leaves the other versions or was found
+    /// bad; `None` for one in the canary phase or finished.
     #[must_use]
-    pub fn note(&self, service: &ServiceId, address: &[u8]) -> Option<RolloutProgress> {
-        let known = self.known.get(service)?;
+    pub fn progress(&self, service: &ServiceId, address: &[u8]) -> Option<RolloutProgress> {
+        let known = self.by_service.get(service)?;
         let is_wanted = known.phase != RolloutPhase::Canary && !known.is_finished();
         is_wanted.then(|| RolloutProgress {
             service: service.clone(),
--- a/src/gateway/dispatch/rollout/order.rs
+++ b/src/gateway/dispatch/rollout/order.rs
@@ -1,4 +1,4 @@
-//! What an operator ordered.
+//! The order of a roll-out, as an operator wrote it to the store.
 
 use std::time::Duration;
 
@@ -6,22 +6,22 @@
 
 use crate::schema::{ServiceId, VersionId};
 
-/// What an operator ordered.
+/// An operator's order to move a service to a version.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct RolloutOrder {
-    /// The service.
+    /// The service to move.
     pub service: ServiceId,
-    /// The version that it moves to.
+    /// The version that the service moves to.
     pub target: VersionId,
-    /// How long that may take.
+    /// Time within which the roll-out is to be finished.
     pub duration: Duration,
-    /// What tells this order from others for the service: a hash of its content and of when its object
-    /// was made.
+    /// Identifies the order among all orders for the service: a hash of its content, seeded with
+    /// the revision at which its object was created.
     pub id: u64,
 }
 
 impl RolloutOrder {
-    /// An order whose object was made at a revision of the store.
+    /// Makes an order from an object that was created at the store revision `made`.
     #[must_use]
     pub fn new(service: ServiceId, target: VersionId, duration: Duration, made: u64) -> Self {
         let content = format!("{service} {target} {}", duration.as_millis());
--- a/src/gateway/dispatch/rollout/rules.rs
+++ b/src/gateway/dispatch/rollout/rules.rs
@@ -1,26 +1,26 @@
-//! Which endpoints a request may use while its service moves.
+//! Rules on the endpoint versions that a request may use during a roll-out.
 
 use std::collections::BTreeSet;
 
 use crate::gateway::dispatch::fleet::Endpoint;
 use crate::schema::{EndpointId, VersionId};
 
-/// Which endpoints an attempt or a replica may be placed at.
+/// Restricts the endpoints at which an attempt or a replica may be placed.
 #[derive(Clone, Copy, Debug, Default)]
 pub enum VersionRule<'a> {
-    /// Any.
+    /// All endpoints.
     #[default]
     Any,
-    /// Those of a version.
+    /// Endpoints of this version.
     Only(&'a VersionId),
-    /// Those of other versions than one.
+    /// Endpoints of any other version.
     Except(&'a VersionId),
-    /// These.
+    /// The listed endpoints.
     Among(&'a BTreeSet<EndpointId>),
 }
 
 impl VersionRule<'_> {
-    /// Whether an endpoint may be used.
+    /// Whether the rule allows an endpoint.
     #[must_use]
     pub fn admits(self, endpoint: &Endpoint) -> bool {
         match self {
@@ -32,11 +32,11 @@
     }
 }
 
-/// Which endpoints a request may use.
+/// The rules for one request.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct VersionRules<'a> {
-    /// For attempts.
+    /// Where attempts may be placed.
     pub attempts: VersionRule<'a>,
-    /// For replicas of them.
+    /// Where replicas of the request's attempts may be placed.
     pub replicas: VersionRule<'a>,
 }
--- a/src/gateway/dispatch/rollout/status.rs
+++ b/src/gateway/dispatch/rollout/status.rs
@@ -1,50 +1,52 @@
-//! The status of a roll-out's object in the store: what it says, and when it is to be written.
+//! The status of a roll-out's object in the store: its values and when it is written.
 //!
-//! A write names the revision that was read, so that of several boxes one wins. One that failed, or
-//! whose answer was lost, is made again after [`WRITE_STATUS_AGAIN`]; one that met another revision waits for
-//! the object to be read. Of the boxes that watch roll-outs, one in each failure domain, the first by
-//! domain writes at once and each further one [`TURN_STEP`] later, so that mostly one writes.
+//! A write names the revision that was read, so of several boxes that write one wins. A write that
+//! failed, or whose response was lost, is repeated after [`STATUS_WRITE_RETRY`]; one that met
+//! another revision waits until the object is read again. One box in each failure domain watches
+//! roll-outs. The watcher of the first domain, in the order of domain ids, writes at once and that
+//! of each further domain [`WRITER_STAGGER`] later, so that usually only one writes.
 //!
-//! Owns: which write is under way. Weighed: one elected writer (needs the store or a consensus), and
-//! all of them at once (a write for each domain instead of one; the same end).
+//! State: the write in progress.
+//!
+//! Alternatives: one elected writer, which needs the store or a consensus protocol; and all
+//! watchers writing at once, which takes one write per domain instead of one for the same result.
 
 use std::time::Duration;
 
-use super::{RolloutOrder, Surroundings};
+use super::{RolloutContext, RolloutOrder};
 use crate::schema::{Micros, RolloutPhase};
 
-/// Time after which a write without an answer is made again. Longer than the store takes when it is
-/// slow (240 ms).
-const WRITE_STATUS_AGAIN: Duration = Duration::from_millis(800);
-/// How much later each further domain's box writes: some messages between domains.
-const TURN_STEP: Duration = Duration::from_millis(250);
+/// Time after which a write without a response is repeated. A slow store takes 240 ms.
+const STATUS_WRITE_RETRY: Duration = Duration::from_millis(800);
+/// Delay of each further domain's writer: several times as long as a message between domains takes.
+const WRITER_STAGGER: Duration = Duration::from_millis(250);
 
-/// What the status of an object says.
+/// The status of a roll-out's object.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RolloutStatus {
-    /// The service is being moved.
+    /// The roll-out is running.
     InProgress,
-    /// All work is at the version.
+    /// All work is at the target version.
     Completed,
-    /// No work is at the version.
+    /// No work is at the target version.
     RolledBack,
 }
 
-/// An object of the store that orders a roll-out.
+/// An object in the store that orders a roll-out.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ObjectState {
-    /// The order.
+    /// The order that the object contains.
     pub order: RolloutOrder,
-    /// The revision of its last change.
+    /// Store revision of the object's last change.
     pub revision: u64,
-    /// What its status says of this order, if anything.
+    /// The status, if the object has one for this order.
     pub status: Option<RolloutStatus>,
-    /// The object as it was read.
+    /// The object's text as it was read.
     pub text: String,
 }
 
 impl ObjectState {
-    /// The phase that its status ends the roll-out with.
+    /// The phase that a final status puts the roll-out in; `None` while it is running.
     #[must_use]
     pub fn final_phase(&self) -> Option<RolloutPhase> {
         match self.status? {
@@ -55,20 +57,20 @@
     }
 }
 
-/// A status that is to be written.
+/// A status write to the store.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct StatusWrite {
-    /// The order.
+    /// The order whose status is written.
     pub order: RolloutOrder,
-    /// The revision that the object must still have.
+    /// The revision that the object must still have for the write to succeed.
     pub revision: u64,
-    /// The status.
+    /// The new status.
     pub status: RolloutStatus,
-    /// The object as it was read.
+    /// The object's text as it was read.
     pub text: String,
 }
 
-/// The status that belongs to a phase.
+/// The status to write in a phase.
 fn status_of(phase: RolloutPhase) -> RolloutStatus {
     match phase {
         RolloutPhase::Canary | RolloutPhase::Switch => RolloutStatus::InProgress,
@@ -77,7 +79,7 @@
     }
 }
 
-/// Which writes are under way.
+/// The wanted status and the last write of it that was sent.
 #[derive(Debug, Default)]
 pub(super) struct StatusWrites {
     wanted: Option<RolloutStatus>,
@@ -86,19 +88,20 @@
 }
 
 impl StatusWrites {
-    /// The object was read at a revision: a write for an earlier one has come to its end.
+    /// Handles that the object was read at `revision`: a write based on an earlier revision is no
+    /// longer in progress.
     pub fn on_object(&mut self, revision: u64) {
         if self.written.is_some_and(|(_, of, _)| of < revision) {
             self.written = None;
         }
     }
 
-    /// The write that is due, if one is.
+    /// Returns the write that is due, if any.
     pub fn next(
         &mut self,
         phase: RolloutPhase,
         object: &ObjectState,
-        around: &Surroundings<'_>,
+        context: &RolloutContext<'_>,
         now: Micros,
     ) -> Option<StatusWrite> {
         let status = status_of(phase);
@@ -110,15 +113,18 @@
         if is_final || object.status == Some(status) {
             return None;
         }
-        let before_me = around.others.iter().filter(|of| *of < around.domain);
-        let turn = TURN_STEP * before_me.count() as u32;
+        let earlier_domains = context
+            .other_domains
+            .iter()
+            .filter(|of| *of < context.domain);
+        let turn = WRITER_STAGGER * earlier_domains.count() as u32;
         if now.since(self.wanted_since) < turn {
             return None;
         }
-        let is_under_way = self.written.is_some_and(|(at, of, what)| {
-            of == object.revision && what == status && now.since(at) < WRITE_STATUS_AGAIN
+        let is_in_progress = self.written.is_some_and(|(at, of, what)| {
+            of == object.revision && what == status && now.since(at) < STATUS_WRITE_RETRY
         });
-        if is_under_way {
+        if is_in_progress {
             return None;
         }
         self.written = Some((now, object.revision, status));
--- a/src/gateway/dispatch/rollout_samples.rs
+++ b/src/gateway/dispatch/rollout_samples.rs
@@ -1,17 +1,20 @@
-//! Counts what attempts tell of the version of their endpoint, while a roll-out is judged.
+//! Counts the results of attempts as evidence on the version of their endpoint, while a roll-out is
+//! judged.
 //!
-//! Of an attempt each kind of time is counted once: a call's, a stream's first event, and the time that
-//! its events take over the first few of them. What is overdue is counted as slow at once, so that a
-//! version that takes several times as long is not known that much later; what failed, was left as
-//! silent or slow, or was given up counts as failed. A first event behind other prompts is not
-//! counted ([`super::request::ActiveAttempt::sampled`]).
+//! Each kind of time is counted once per attempt: the duration of a call, the time to a stream's
+//! first event, and the time per event over the first few events. An overdue attempt is counted as
+//! slow at once, so that a version that takes several times as long is not detected that much
+//! later. An attempt that failed, was abandoned as unresponsive or slow, or whose request was given
+//! up counts as failed. A first event behind other prompts is not counted
+//! ([`super::request::ActiveAttempt::sampled`]).
 //!
-//! What met no server says nothing of a version: an attempt that has no connection yet is neither
-//! overdue nor failed. Once all new work goes to the target, only the target's endpoints are tried
-//! behind a link that is cut: with these attempts counted 31 of 114 good versions were rolled back
-//! where a failure domain was cut off meanwhile, without them 22 (emulator of roll-outs, 90 boxes).
+//! An attempt that reached no server says nothing about a version, so an attempt without a
+//! connection is neither overdue nor failed. Once all new work goes to the target, only the
+//! target's endpoints are tried behind a link that is cut. With these attempts counted, 31 of 114
+//! good versions were rolled back when a failure domain was cut off meanwhile; without them 22
+//! (roll-out emulator, 90 boxes).
 //!
-//! Owns: nothing; [`super::rollout::evidence`] keeps the counts.
+//! State: none; [`super::rollout::evidence`] owns the counts.
 
 use std::time::Duration;
 
@@ -19,17 +22,17 @@
 use super::event::{AttemptNumber, Fault, NotRunCause, Outcome, RequestNumber};
 use super::request::ActiveAttempt;
 use super::rollout::Rollout;
-use super::rollout::evidence::{FAILED, Timed, series_of, step_of};
+use super::rollout::evidence::{FAILED, Timed, bucket_of, series_of};
 use crate::schema::{Micros, RolloutSample, ServiceId};
 
-/// The least status of an answer that counts as failed: a sound version answers the same requests
-/// beside it.
-const LEAST_FAILED_STATUS: u16 = 400;
-/// Events of a stream over which their time is taken.
+/// Lowest status of an answer that counts as failed. Client errors are included because a sound
+/// version answers the same requests at the same time.
+const MIN_FAILED_STATUS: u16 = 400;
+/// Number of events of a stream over which their time is averaged.
 const TIMED_EVENTS: u64 = 8;
 
 impl Dispatcher {
-    /// Counts what the end of an attempt tells of its endpoint's version.
+    /// Counts the end of an attempt.
     pub(super) fn sample_end(
         &mut self,
         number: RequestNumber,
@@ -41,37 +44,37 @@
         };
         let is_stream = request.route.kind.is_stream();
         let timed = Timed::of_attempt(is_stream);
-        let is_left = matches!(outcome, Outcome::Stopped | Outcome::Broken(Fault::Silent));
-        if is_left && !active.is_connected {
+        let was_stopped = matches!(outcome, Outcome::Stopped | Outcome::Broken(Fault::Silent));
+        if was_stopped && !active.is_connected {
             return;
         }
-        let step = match outcome {
-            Outcome::Answered { status } if *status < LEAST_FAILED_STATUS => {
-                step_of(millis(self.now.since(active.started)))
+        let bucket = match outcome {
+            Outcome::Answered { status } if *status < MIN_FAILED_STATUS => {
+                bucket_of(millis(self.now.since(active.started)))
             }
             Outcome::Answered { .. }
             | Outcome::Broken(_)
             | Outcome::NotRun(NotRunCause::NoRoom)
             | Outcome::Stopped => FAILED,
-            // Events of a stream were counted while it went on; the others met no server.
+            // Events of a stream were counted while it ran; the other outcomes reached no server.
             Outcome::StreamEnded
             | Outcome::NotSent
             | Outcome::NotRun(NotRunCause::OtherInstance(_)) => return,
         };
-        // A stream that breaks off has been counted for the events that came.
+        // A stream that breaks off counts as failed even if its events were counted.
         let mut sampled = active.sampled;
         if is_stream || sampled.take(timed) {
-            self.sample(number, active, timed, step);
+            self.sample(number, active, timed, bucket);
         }
     }
 
-    /// Whether answers of a service are of interest to a roll-out.
+    /// Whether results of a service are collected for a roll-out.
     pub(super) fn is_judged(&self, service: &ServiceId) -> bool {
         let rollout = self.rollouts.of(service);
         rollout.is_some_and(Rollout::is_judged)
     }
 
-    /// Notes that an attempt has gone out on a connection.
+    /// Records that an attempt has been sent on a connection.
     pub(super) fn on_connected(&mut self, number: RequestNumber, attempt: AttemptNumber) {
         let request = self.with_active(number, attempt);
         if let Some(active) = request.and_then(|r| r.active.as_mut()) {
@@ -79,15 +82,15 @@
         }
     }
 
-    /// Counts an attempt whose request is given up while it runs.
-    pub(super) fn sample_given_up(&mut self, number: RequestNumber) {
+    /// Counts a running attempt whose request is given up.
+    pub(super) fn sample_abandoned(&mut self, number: RequestNumber) {
         let request = self.requests.get(&number);
         if let Some(active) = request.and_then(|r| r.active.clone()) {
             self.sample_end(number, &active, &Outcome::Broken(Fault::Silent));
         }
     }
 
-    /// Counts what a stream's first event tells of its engine's version.
+    /// Counts the time to a stream's first event.
     pub(super) fn sample_first_event(
         &mut self,
         number: RequestNumber,
@@ -104,12 +107,12 @@
         };
         if active.sampled.take(Timed::FirstEvent) {
             let active = active.clone();
-            let time = per_thousand(now.since(active.started), prompt);
-            self.sample(number, &active, Timed::FirstEvent, step_of(time));
+            let time = millis_per_thousand_tokens(now.since(active.started), prompt);
+            self.sample(number, &active, Timed::FirstEvent, bucket_of(time));
         }
     }
 
-    /// Counts how long a stream's events take, once some have come.
+    /// Counts the time per event of a stream, once enough events have come.
     pub(super) fn sample_events(&mut self, number: RequestNumber, attempt: AttemptNumber) {
         if self.rollouts.is_empty() {
             return;
@@ -127,13 +130,13 @@
         };
         if events >= TIMED_EVENTS && active.sampled.take(Timed::Event) {
             let active = active.clone();
-            let step = step_of(time / events as f64);
-            self.sample(number, &active, Timed::Event, step);
+            let bucket = bucket_of(time / events as f64);
+            self.sample(number, &active, Timed::Event, bucket);
         }
     }
 
-    /// Counts what is slow already though it has not come yet: a version that takes several times as
-    /// long would be known that much later otherwise.
+    /// Counts a result that is already slow although it is incomplete. Otherwise a version that
+    /// takes several times as long would be detected that much later.
     pub(super) fn sample_overdue(&mut self, number: RequestNumber) {
         if self.rollouts.is_empty() {
             return;
@@ -158,20 +161,23 @@
         let waited = now.since(active.started);
         let (timed, time) = match (is_stream, events_so_far(last, active, now)) {
             (false, _) => (Timed::Call, millis(waited)),
-            (true, None) => (Timed::FirstEvent, per_thousand(waited, prompt.max(1))),
-            // So slow that the next few can't make it good.
+            (true, None) => (
+                Timed::FirstEvent,
+                millis_per_thousand_tokens(waited, prompt.max(1)),
+            ),
+            // The time is so long that the next few events can't bring the average down.
             (true, Some((events, time))) => (Timed::Event, time / (events + TIMED_EVENTS) as f64),
         };
-        let step = step_of(time);
-        let reads = active.prefill > 0 || timed != Timed::FirstEvent;
-        let is_slow = rollout.evidence().is_slow(series_of(&route, timed), step);
-        if reads && is_slow && active.sampled.take(timed) {
+        let bucket = bucket_of(time);
+        let has_prefill = active.prefill > 0 || timed != Timed::FirstEvent;
+        let is_slow = rollout.evidence().is_slow(series_of(&route, timed), bucket);
+        if has_prefill && is_slow && active.sampled.take(timed) {
             let active = active.clone();
-            self.sample(number, &active, timed, step);
+            self.sample(number, &active, timed, bucket);
         }
     }
 
-    fn sample(&mut self, number: RequestNumber, active: &ActiveAttempt, timed: Timed, step: u8) {
+    fn sample(&mut self, number: RequestNumber, active: &ActiveAttempt, timed: Timed, bucket: u8) {
         let Some(request) = self.requests.get(&number) else {
             return;
         };
@@ -179,29 +185,30 @@
             return;
         };
         let endpoint = self.fleet.get_incarnation(&active.endpoint);
-        let Some(endpoint) = endpoint.filter(|_| rollout.tells(timed, step, self.now)) else {
+        let Some(endpoint) = endpoint.filter(|_| rollout.counts_result(timed, bucket, self.now))
+        else {
             return;
         };
         let is_target = endpoint.spec.version == rollout.order().target;
         let sample = RolloutSample {
             endpoint: active.endpoint.id.clone(),
             series: series_of(&request.route.name, timed),
-            step,
+            step: bucket,
         };
         rollout.evidence_mut().on_own_sample(sample, is_target);
         self.publish_usage_soon(&active.endpoint.id);
     }
 }
 
-/// How many events have come after a stream's first one, and in how many milliseconds.
+/// Number of events after a stream's first one, and the milliseconds since that.
 fn events_so_far(last: Option<u64>, active: &ActiveAttempt, now: Micros) -> Option<(u64, f64)> {
     let (begun, first) = active.first_event?;
     let events = last?.saturating_sub(first);
     Some((events, millis(now.since(begun))))
 }
 
-/// Milliseconds for a thousand tokens of a prompt.
-fn per_thousand(time: Duration, prompt: u32) -> f64 {
+/// Milliseconds per thousand tokens of a prompt.
+fn millis_per_thousand_tokens(time: Duration, prompt: u32) -> f64 {
     millis(time) * 1_000.0 / f64::from(prompt)
 }
 
--- a/src/gateway/dispatch/rollouts.rs
+++ b/src/gateway/dispatch/rollouts.rs
@@ -1,13 +1,15 @@
-//! Carries roll-outs out: which endpoints requests may use, streams that leave a version, and what
-//! boxes tell each other of it. What answers tell of a version is counted in [`super::rollout_samples`].
+//! Carries out roll-outs in the dispatcher: which endpoints requests may use, streams that move to
+//! the target version, and messages about roll-outs between boxes. [`super::rollout_samples`]
+//! collects the evidence.
 //!
-//! What is decided, and when, is in [`super::rollout`]. A request is a canary or not from its first
-//! attempt on, and no second attempt of it goes to a version that is not known to be sound. Where no
-//! endpoint of another version is left, the target serves all the same, unless it was found bad.
+//! [`super::rollout`] decides which phase a roll-out is in. Whether a request is a canary is
+//! decided before its first attempt, and no second attempt of it goes to a version not yet known to
+//! be sound. If no endpoint of another version is left, the target serves requests anyway, unless
+//! it was found bad.
 //!
-//! Once a service switches, a stream elsewhere goes on at the target as soon as a replica lies there:
-//! [`super::replicas`] takes replicas at other versions for lost and has new ones made. One that has
-//! none after [`LEAVE_ANYWAY_AFTER`] reads its prompt again.
+//! Once a service switches, a stream at another version moves to the target as soon as a replica
+//! exists there: [`super::replicas`] treats replicas at other versions as lost and makes new ones.
+//! A stream that has no replica after [`LEAVE_WITHOUT_REPLICA_AFTER`] has its prompt read again.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -21,7 +23,7 @@
 use super::request::{ActiveAttempt, Request};
 use super::rollout::evidence::{Timed, series_of};
 use super::rollout::status::ObjectState;
-use super::rollout::{Rollout, Step, Surroundings, VersionRules};
+use super::rollout::{Effect, Rollout, RolloutContext, VersionRules};
 use super::roster::pack_address;
 use super::table::RouteKind;
 use crate::schema::{
@@ -29,68 +31,71 @@
     UsageUpdate,
 };
 
-/// How long after streams were to leave one without a replica at the target leaves all the same.
-/// Over the time of a snapshot.
-const LEAVE_ANYWAY_AFTER: Duration = Duration::from_millis(700);
-/// Time between two notes of how far this box is while a service switches: datagrams get lost.
-const NOTE_EVERY: Duration = Duration::from_millis(300);
+/// How long a stream without a replica at the target waits for one before it moves anyway: longer
+/// than a snapshot takes.
+const LEAVE_WITHOUT_REPLICA_AFTER: Duration = Duration::from_millis(700);
+/// Time between two progress reports of this box while a service switches. They are repeated
+/// because datagrams get lost.
+const PROGRESS_INTERVAL: Duration = Duration::from_millis(300);
 
-/// What this box knows around roll-outs, apart from a single one.
-struct Around {
-    near: Vec<SocketAddr>,
-    others: Vec<DomainId>,
+/// Inputs to the evaluation of all roll-outs from outside of them.
+struct EvaluationContext {
+    local_peers: Vec<SocketAddr>,
+    other_domains: Vec<DomainId>,
     is_watching: bool,
-    services: Vec<MovingService>,
+    services: Vec<RolloutService>,
 }
 
-/// A service with a roll-out.
-struct MovingService {
+/// A service that has a roll-out.
+struct RolloutService {
     name: ServiceId,
-    /// Attempts of this box at endpoints that the roll-out leaves.
-    elsewhere: usize,
+    /// Attempts of this box at versions that the roll-out leaves.
+    attempts_elsewhere: usize,
     has_engines: bool,
-    /// How long a request runs that has to go on elsewhere.
-    moved: Duration,
+    /// Expected run time of a request that has to move to the target.
+    stream_time: Duration,
 }
 
-impl Around {
+impl EvaluationContext {
     fn of<'a>(
         &'a self,
-        service: &MovingService,
+        service: &RolloutService,
         fleet: &'a Fleet,
         domain: &'a DomainId,
-    ) -> Surroundings<'a> {
-        Surroundings {
+    ) -> RolloutContext<'a> {
+        RolloutContext {
             fleet,
             domain,
-            near: &self.near,
-            others: &self.others,
+            local_peers: &self.local_peers,
+            other_domains: &self.other_domains,
             is_watching: self.is_watching,
             has_engines: service.has_engines,
-            moved: service.moved,
-            elsewhere: service.elsewhere,
+            stream_time: service.stream_time,
+            attempts_elsewhere: service.attempts_elsewhere,
         }
     }
 }
 
 impl Dispatcher {
-    /// Objects of the store that order roll-outs were read.
+    /// Handles objects that order roll-outs, as read from the store.
     pub(super) fn on_rollouts(
         &mut self,
         objects: Vec<ObjectState>,
-        gone: &[ServiceId],
-        is_whole: bool,
+        removed: &[ServiceId],
+        is_complete: bool,
     ) {
-        let nothing_known = self.rollouts.is_empty();
-        let steps = self.rollouts.on_objects(objects, gone, is_whole, self.now);
-        self.carry_out(steps);
-        if nothing_known && self.rollouts.is_empty() {
+        let was_empty = self.rollouts.is_empty();
+        let effects = self
+            .rollouts
+            .on_objects(objects, removed, is_complete, self.now);
+        self.apply_rollout_effects(effects);
+        if was_empty && self.rollouts.is_empty() {
             return;
         }
         self.gossip_soon();
     }
 
-    /// Looks at all roll-outs, and at whether this box watches them for its domain.
+    /// Evaluates all roll-outs, and decides whether this box watches them for its failure domain.
     pub(super) fn check_rollouts(&mut self) {
         let roster = self.peers.roster();
         let watches = self.store_watchers.is_first(roster, self.now);
@@ -105,20 +110,20 @@
             return;
         }
         self.rollouts.forget_old(self.now);
-        let around = self.around();
-        let mut steps = Vec::new();
-        for service in &around.services {
-            let surroundings = around.of(service, &self.fleet, &self.cfg.domain);
-            steps.extend(
+        let context = self.evaluation_context();
+        let mut effects = Vec::new();
+        for service in &context.services {
+            let rollout_context = context.of(service, &self.fleet, &self.cfg.domain);
+            effects.extend(
                 self.rollouts
-                    .evaluate(&service.name, &surroundings, self.now),
+                    .evaluate(&service.name, &rollout_context, self.now),
             );
         }
-        self.carry_out(steps);
-        self.note_if_due();
+        self.apply_rollout_effects(effects);
+        self.publish_progress_if_due();
     }
 
-    fn around(&self) -> Around {
+    fn evaluation_context(&self) -> EvaluationContext {
         let roster = self.peers.roster();
         let services = self.rollouts.iter().map(|rollout| {
             let service = &rollout.order().service;
@@ -127,27 +132,27 @@
                 .as_ref()
                 .and_then(|table| table.service(service))
                 .is_some_and(|service| service.engine.is_some());
-            MovingService {
+            RolloutService {
                 name: service.clone(),
-                elsewhere: self.elsewhere(service),
+                attempts_elsewhere: self.attempts_elsewhere(service),
                 has_engines,
-                moved: if has_engines {
+                stream_time: if has_engines {
                     self.stream_time.expected()
                 } else {
                     Duration::ZERO
                 },
             }
         });
-        Around {
-            near: roster.running(self.now).collect(),
-            others: roster.other_domains(),
+        EvaluationContext {
+            local_peers: roster.running(self.now).collect(),
+            other_domains: roster.other_domains(),
             is_watching: self.watches_rollouts,
             services: services.collect(),
         }
     }
 
-    /// Attempts of this box at endpoints of a service that its roll-out leaves.
-    fn elsewhere(&self, service: &ServiceId) -> usize {
+    /// Attempts of this box at endpoints of `service` that its roll-out leaves.
+    fn attempts_elsewhere(&self, service: &ServiceId) -> usize {
         let Some(rollout) = self.rollouts.of(service).filter(|r| r.leaves_others()) else {
             return 0;
         };
@@ -161,11 +166,11 @@
         active.filter(is_elsewhere).count()
     }
 
-    fn carry_out(&mut self, steps: Vec<Step>) {
+    fn apply_rollout_effects(&mut self, effects: Vec<Effect>) {
         let (mut has_entered, mut has_left) = (false, false);
-        for step in steps {
-            match step {
-                Step::Entered {
+        for effect in effects {
+            match effect {
+                Effect::Entered {
                     service,
                     target,
                     phase,
@@ -179,56 +184,57 @@
                         why,
                     });
                 }
-                Step::Left => has_left = true,
-                Step::DomainLeft => self.tell_watchers(),
-                Step::Write(write) => self.actions.push(Action::WriteRollout(write)),
+                Effect::LeftOthers => has_left = true,
+                Effect::DomainLeftOthers => self.publish_to_watchers(),
+                Effect::WriteStatus(write) => self.actions.push(Action::WriteRollout(write)),
             }
         }
         if has_entered {
-            self.tell_rollouts();
+            self.publish_rollouts();
         } else if has_left {
             self.next_rollout_report = self.now;
-            self.note_if_due();
+            self.publish_progress_if_due();
         }
     }
 
-    /// Tells the own domain and the boxes that watch the store elsewhere at once.
-    fn tell_rollouts(&mut self) {
+    /// Publishes the roll-outs at once, to this failure domain and to the boxes of other domains
+    /// that watch the store.
+    fn publish_rollouts(&mut self) {
         self.next_rollout_report = self.now;
-        self.note_if_due();
-        self.tell_watchers();
+        self.publish_progress_if_due();
+        self.publish_to_watchers();
         self.gossip_soon();
     }
 
-    /// Tells the boxes that watch the store at once how far roll-outs are.
-    fn tell_watchers(&mut self) {
+    /// Publishes this box's state at once to the boxes that watch the store.
+    fn publish_to_watchers(&mut self) {
         let watchers = self.store_watchers.addresses(self.now);
         if !watchers.is_empty() {
             self.gossip_state(watchers);
         }
     }
 
-    /// Tells the own domain how far this box is, while a service leaves a version.
-    fn note_if_due(&mut self) {
+    /// Reports this box's progress to its failure domain while a service leaves a version.
+    fn publish_progress_if_due(&mut self) {
         let is_leaving = |r: &Rollout| r.phase() != RolloutPhase::Canary && !r.is_finished();
-        let is_wanted = self.rollouts.iter().any(is_leaving);
-        if is_wanted && self.now >= self.next_rollout_report {
-            self.next_rollout_report = self.now.after(NOTE_EVERY);
+        let is_any_leaving = self.rollouts.iter().any(is_leaving);
+        if is_any_leaving && self.now >= self.next_rollout_report {
+            self.next_rollout_report = self.now.after(PROGRESS_INTERVAL);
             self.publish_immediately();
         }
     }
 
-    /// What this box tells of how far it is with roll-outs.
-    pub(super) fn rollout_notes(&self) -> Vec<RolloutProgress> {
+    /// This box's progress with its roll-outs, to publish.
+    pub(super) fn rollout_progress(&self) -> Vec<RolloutProgress> {
         let address = pack_address(self.cfg.address);
-        let notes = self.rollouts.iter().filter_map(|rollout| {
+        let reports = self.rollouts.iter().filter_map(|rollout| {
             let service = &rollout.order().service;
-            self.rollouts.note(service, &address)
+            self.rollouts.progress(service, &address)
         });
-        notes.collect()
+        reports.collect()
     }
 
-    /// Answers since the last message, of endpoints of services with a roll-out.
+    /// Results since the last message, for services with a roll-out.
     pub(super) fn take_rollout_samples(&mut self) -> Vec<RolloutSample> {
         let services = self.rollouts.iter().map(|r| r.order().service.clone());
         let services: Vec<ServiceId> = services.collect();
@@ -241,33 +247,35 @@
         samples
     }
 
-    /// What the boxes of a failure domain are told of roll-outs.
+    /// The state of the roll-outs to publish to the boxes of `domain`.
     pub(super) fn rollouts_for(&self, domain: &DomainId) -> Vec<RolloutState> {
         if self.rollouts.is_empty() {
             return Vec::new();
         }
-        let around = self.around();
-        let told = around.services.iter().filter_map(|service| {
-            let surroundings = around.of(service, &self.fleet, &self.cfg.domain);
+        let context = self.evaluation_context();
+        let states = context.services.iter().filter_map(|service| {
+            let rollout_context = context.of(service, &self.fleet, &self.cfg.domain);
             self.rollouts
-                .told_to(&service.name, domain, &surroundings, self.now)
+                .state_for(&service.name, domain, &rollout_context, self.now)
         });
-        told.collect()
+        states.collect()
     }
 
-    /// A box told its state.
-    pub(super) fn on_told_rollouts(&mut self, state: &BoxState) {
+    /// Merges the roll-outs in a state that a peer published.
+    pub(super) fn on_peer_rollouts(&mut self, state: &BoxState) {
         if state.rollouts.is_empty() {
             return;
         }
         let own = self.cfg.domain.clone();
-        let steps = self.rollouts.on_told(&state.rollouts, &own, self.now);
-        self.carry_out(steps);
+        let effects = self
+            .rollouts
+            .on_peer_states(&state.rollouts, &own, self.now);
+        self.apply_rollout_effects(effects);
     }
 
-    /// A box of the own domain told of its answers and of how far it is.
-    pub(super) fn on_rollout_news(&mut self, news: &UsageUpdate) {
-        for sample in &news.samples {
+    /// Merges results and progress that a box of this failure domain published.
+    pub(super) fn on_peer_rollout_update(&mut self, update: &UsageUpdate) {
+        for sample in &update.samples {
             let Some(endpoint) = self.fleet.get(&sample.endpoint) else {
                 continue;
             };
@@ -276,11 +284,11 @@
                 rollout.evidence_mut().on_sample(sample, is_target);
             }
         }
-        let steps = self.rollouts.on_notes(&news.rollouts, self.now);
-        self.carry_out(steps);
+        let effects = self.rollouts.on_peer_progress(&update.rollouts, self.now);
+        self.apply_rollout_effects(effects);
     }
 
-    /// Decides whether a request that was not placed yet is a canary.
+    /// Decides whether a request without any attempt yet is a canary.
     pub(super) fn draw_canary(&mut self, number: RequestNumber) {
         let Some(request) = self.requests.get_mut(&number) else {
             return;
@@ -303,8 +311,8 @@
         rollout.map_or_else(VersionRules::default, |r| r.rules(is_canary))
     }
 
-    /// Where an attempt may go if nothing that [`Self::rules_for`] admits takes it.
-    pub(super) fn other_rules_for(&self, request: &Request) -> Option<VersionRules<'_>> {
+    /// Which endpoints an attempt may use if none that [`Self::rules_for`] admits accepts it.
+    pub(super) fn fallback_rules_for(&self, request: &Request) -> Option<VersionRules<'_>> {
         let rollout = self.rollouts.of(&request.service)?;
         let is_other = |e: &Endpoint| e.spec.version != rollout.order().target;
         let mut endpoints = self.fleet.of_service(&request.service);
@@ -312,12 +320,12 @@
         rollout.fallback(request.is_canary == Some(true), has_others)
     }
 
-    /// What is to be placed for a request.
+    /// The placement demand of a request.
     pub(super) fn demand_of<'a>(&'a self, request: &'a Request) -> Demand<'a> {
         request.demand(self.rules_for(request), false)
     }
 
-    /// Whether a request may go on at an endpoint that holds a replica.
+    /// Whether a request may continue at an endpoint that holds a replica.
     pub(super) fn may_resume_at(&self, endpoint: &Endpoint) -> bool {
         let Some(rollout) = self.rollouts.of(&endpoint.spec.service) else {
             return true;
@@ -325,14 +333,14 @@
         rollout.leaves_others() || endpoint.spec.version != rollout.order().target
     }
 
-    /// Whether an endpoint's service leaves its version.
-    pub(super) fn is_left(&self, endpoint: &Endpoint) -> bool {
+    /// Whether the service of an endpoint is leaving the endpoint's version.
+    pub(super) fn is_leaving_version(&self, endpoint: &Endpoint) -> bool {
         let rollout = self.rollouts.of(&endpoint.spec.service);
         rollout.is_some_and(|r| r.leaves_others() && endpoint.spec.version != r.order().target)
     }
 
-    /// Whether a stream is to go on at the version that its service moves to now.
-    pub(super) fn is_to_leave(&self, number: RequestNumber) -> bool {
+    /// Whether a stream is to move now to the version that its service switches to.
+    pub(super) fn must_leave_version(&self, number: RequestNumber) -> bool {
         let Some(request) = self.requests.get(&number) else {
             return false;
         };
@@ -342,17 +350,17 @@
             return false;
         };
         let endpoint = self.fleet.get(&active.endpoint.id);
-        let is_left = endpoint.is_some_and(|e| self.is_left(e));
-        if !is_stream || !is_left || !request.may_run_after_active() {
+        let is_leaving_version = endpoint.is_some_and(|e| self.is_leaving_version(e));
+        if !is_stream || !is_leaving_version || !request.may_run_after_active() {
             return false;
         }
         let Some(since) = rollout.leaving_since().filter(|at| self.now >= *at) else {
             return false;
         };
-        self.has_replica(active) || self.now.since(since) >= LEAVE_ANYWAY_AFTER
+        self.has_replica(active) || self.now.since(since) >= LEAVE_WITHOUT_REPLICA_AFTER
     }
 
-    /// Has a stream go on at the version that its service moves to, if the budget has a retry.
+    /// Moves a stream to the version that its service switches to, if the retry budget allows it.
     pub(super) fn leave_version(&mut self, number: RequestNumber) {
         if !self.take_retry(number) {
             return;
--- a/src/gateway/dispatch/suspicion.rs
+++ b/src/gateway/dispatch/suspicion.rs
@@ -79,7 +79,7 @@
             self.retry(number);
         } else if is_slow_call(request, now) || self.is_stranded(number) {
             self.move_away(number);
-        } else if self.is_to_leave(number) {
+        } else if self.must_leave_version(number) {
             self.leave_version(number);
         } else if let Some(endpoint) = self.silent_endpoint(number) {
             self.probe(&endpoint);
--- a/tests/rollout_exposure.rs
+++ b/tests/rollout_exposure.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use magpiemoor::gateway::dispatch::rollout::canary::SAFE_PART;
-use magpiemoor::gateway::dispatch::rollout::evidence::Requests;
+use magpiemoor::gateway::dispatch::rollout::canary::MAX_CANARY_FRACTION;
+use magpiemoor::gateway::dispatch::rollout::evidence::RequestCounts;
 use magpiemoor::gateway::dispatch::rollout::exposure::{ExposureLimit, Forecast};
 use rstest::rstest;
 
@@ -22,9 +22,9 @@
         requests: rate * elapsed,
         exposed,
         rate,
-        left: Duration::from_secs_f64(14.0 - elapsed),
-        switch: Duration::from_secs(1),
-        moved: Duration::from_secs_f64(moved),
+        time_left: Duration::from_secs_f64(14.0 - elapsed),
+        switch_time: Duration::from_secs(1),
+        stream_time: Duration::from_secs_f64(moved),
     }
 }
 
@@ -47,7 +47,7 @@
 /// A canary leaves room for the last step where there is any, and has its whole share otherwise.
 #[test]
 fn a_canary_makes_room_for_the_last_step() {
-    let usual = LIMIT.share * SAFE_PART;
+    let usual = LIMIT.share * MAX_CANARY_FRACTION;
     let calls = LIMIT.canary_share(Some(&forecast(254.0, 3.0, 20.0, 0.0)));
     assert!(calls > 0.0 && calls < usual / 2.0, "{calls}");
     let streams = LIMIT.canary_share(Some(&forecast(39.0, 3.0, 8.0, 6.0)));
@@ -64,7 +64,7 @@
     #[values(0.0, 5.0)] moved: f64,
 ) {
     let forecast = forecast(rate, 2.0, 0.0, moved);
-    let route = |part: f64| Requests {
+    let route = |part: f64| RequestCounts {
         all: rate * part * 2.0,
         of_target: 0.0,
         rate: rate * part,
@@ -86,7 +86,7 @@
 #[test]
 fn a_route_with_few_requests_is_tried_with_more_of_them() {
     let forecast = forecast(39.0, 2.0, 0.0, 6.0);
-    let route = |rate: f64| Requests {
+    let route = |rate: f64| RequestCounts {
         all: rate * 2.0,
         of_target: 0.0,
         rate,
--- a/tests/rollout_verdict.rs
+++ b/tests/rollout_verdict.rs
@@ -1,6 +1,6 @@
 //! What is held of a version by its answers and those beside it.
 
-use magpiemoor::gateway::dispatch::rollout::evidence::{FAILED, Timed, series_of, step_of};
+use magpiemoor::gateway::dispatch::rollout::evidence::{FAILED, Timed, bucket_of, series_of};
 use magpiemoor::gateway::dispatch::rollout::verdict::{Series, Stratum, Verdict, judge};
 use magpiemoor::schema::AnswerTimes;
 use rstest::rstest;
@@ -9,13 +9,13 @@
 fn times(fine: u32, failed: u32, slow: u32) -> AnswerTimes {
     let mut times = AnswerTimes::default();
     for number in 0..fine {
-        times.add(step_of(f64::from(24 + number % 12)));
+        times.add(bucket_of(f64::from(24 + number % 12)));
     }
     for _ in 0..failed {
         times.add(FAILED);
     }
     for _ in 0..slow {
-        times.add(step_of(95.0));
+        times.add(bucket_of(95.0));
     }
     times
 }
@@ -35,7 +35,7 @@
         baseline,
         target: sum(servers),
         worst: worst.unwrap_or_default(),
-        servers: servers.len() as u32,
+        endpoints: servers.len() as u32,
     }
 }
 
@@ -124,7 +124,7 @@
     #[case] server: AnswerTimes,
 ) {
     let all = [series("r", vec![stratum(baseline, &[server])])];
-    assert_eq!(judge(&all, None), Verdict::Open);
+    assert_eq!(judge(&all, None), Verdict::Undecided);
 }
 
 #[test]
@@ -168,7 +168,7 @@
         baseline: greatest.clone(),
         target: greatest.clone(),
         worst: greatest.clone(),
-        servers: u32::MAX,
+        endpoints: u32::MAX,
     });
     assert!(!is_bad(&[series("a", strata.into())]));
 }
