--- a/src/gateway/dispatch.rs
+++ b/src/gateway/dispatch.rs
@@ -391,7 +391,7 @@
             self.table_fetches.due(),
             self.endpoint_fetches.due(),
             self.pending_crashes.due(),
-            self.quarantine.due(),
+            self.quarantine.next_evaluation(),
             self.permits.due(|id| self.fleet.limits.of(id)),
         ];
         let due = others.into_iter().flatten().fold(due, Micros::min);
--- a/src/gateway/dispatch/crashes.rs
+++ b/src/gateway/dispatch/crashes.rs
@@ -1,14 +1,14 @@
-//! Endpoints that end under requests: how this box makes sure of it, and what follows for requests.
+//! Verifies that an endpoint has crashed under a request, and handles the requests affected.
 //!
-//! A connection that breaks may only have been closed, so what listens at the address is asked for by
-//! a connection ([`Action::CheckExited`]); an endpoint whose port refuses it has ended. Others of its
-//! failure domain may have ended with it, which is known [`CRASH_SETTLING`] later. Then the crash is
-//! noted and told, and [`DECIDED_AFTER`] it the request is decided about ([`super::quarantine`]). A
-//! request that the crash may have quarantined, or after which it is to run alone, waits for that
-//! before its next attempt; any other one goes on at once.
+//! A broken connection may only have been closed, so the box opens another one to the address
+//! ([`Action::CheckExited`]); an endpoint whose port refuses it has ended. Other endpoints of the
+//! failure domain may have ended with it, which is known [`CRASH_RECORD_DELAY`] later. The crash is
+//! then recorded and published, and [`EVALUATION_DELAY`] after the crash the request is evaluated
+//! ([`super::quarantine`]). A request that may be quarantined for the crash, or that is to run
+//! alone after it, waits for this before its next attempt; any other request is retried at once.
 //!
-//! Owns: crashes that are not made sure of. Relies on: [`super::fleet`] for what ran beside and for
-//! losses of the domain.
+//! The module owns the crashes that are not recorded yet. [`super::fleet`] provides the number of
+//! concurrent requests and the losses of the failure domain.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -18,8 +18,8 @@
 use super::action::Action;
 use super::event::{Fault, Outcome, RequestNumber};
 #[cfg(doc)]
-use super::quarantine::DECIDED_AFTER;
-use super::quarantine::{ALONE_AT, Crash, QUARANTINE_AT};
+use super::quarantine::EVALUATION_DELAY;
+use super::quarantine::{Crash, ISOLATE_AT, QUARANTINE_AT};
 use super::record::Record;
 use super::refusal::RefusalReason;
 use super::request::ActiveAttempt;
@@ -27,58 +27,62 @@
     CrashUpdate, DomainId, EndpointIncarnation, Fingerprint, Micros, RequestAge, ServiceId,
 };
 
-/// How long a connection may take that shows whether an endpoint has ended. Over the slowest sound
-/// connection of the users' sites (some 3 ms) and under [`CRASH_SETTLING`].
-const CHECK_LIMIT: Duration = Duration::from_millis(40);
-/// How long after a crash it is noted: by then losses of others of the domain have been told. Over
-/// the pause before news of losses (10 ms) and a way between boxes.
-const CRASH_SETTLING: Duration = Duration::from_millis(50);
-/// How long a request waits until a crash is noted that may have it run alone: over [`CRASH_SETTLING`].
-const NOTED_AFTER: Duration = Duration::from_millis(60);
-/// How long a request waits that a crash may have quarantined: over [`DECIDED_AFTER`].
-const VERDICT_AFTER: Duration = Duration::from_millis(160);
+/// Time limit of the connection that checks whether an endpoint has ended. Above the slowest
+/// connection to a healthy endpoint (some 3 ms) and below [`CRASH_RECORD_DELAY`].
+const CHECK_TIMEOUT: Duration = Duration::from_millis(40);
+/// Delay from a crash to its recording. By then losses of other endpoints of the domain have been
+/// reported: it exceeds the pause before losses are published (10 ms) plus the latency between
+/// boxes.
+const CRASH_RECORD_DELAY: Duration = Duration::from_millis(50);
+/// How long a request waits for a crash to be recorded after which it may have to run alone: longer
+/// than [`CRASH_RECORD_DELAY`].
+const RECORD_WAIT: Duration = Duration::from_millis(60);
+/// How long a request waits for an evaluation that may quarantine it: longer than
+/// [`EVALUATION_DELAY`].
+const VERDICT_WAIT: Duration = Duration::from_millis(160);
 
-/// A crash that is not noted yet.
+/// A crash that is not recorded yet.
 #[derive(Clone, Debug)]
 struct Pending {
     request: Fingerprint,
-    /// The caller's id, for records.
+    /// The caller's request id, for the decision log.
     id: String,
     service: ServiceId,
     domain: DomainId,
     crash: Crash,
 }
 
-/// Crashes that are not noted yet.
+/// The crashes that are not recorded yet.
 #[derive(Debug, Default)]
 pub(super) struct PendingCrashes {
-    /// Endpoints that are being checked, with what broke off there.
+    /// Attempts that broke off at endpoints that are being checked.
     checked: BTreeMap<EndpointIncarnation, Vec<Pending>>,
-    /// What broke off at endpoints that have ended.
+    /// Attempts that broke off at endpoints that have ended.
     settling: Vec<Pending>,
 }
 
 impl PendingCrashes {
-    /// How many there are of a request.
+    /// Returns how many pending crashes a request has.
     fn of(&self, request: Fingerprint) -> usize {
         let pending = self.checked.values().flatten().chain(&self.settling);
         pending.filter(|pending| pending.request == request).count()
     }
 
-    /// When the next one is to be noted.
+    /// Returns when the next pending crash is to be recorded.
     pub fn due(&self) -> Option<Micros> {
         let due = self.settling.iter().map(|pending| pending.crash.at);
-        due.min().map(|at| at.after(CRASH_SETTLING))
+        due.min().map(|at| at.after(CRASH_RECORD_DELAY))
     }
 }
 
-/// Whether an endpoint may have ended by how an attempt there did.
+/// Returns whether the outcome of an attempt may mean that its endpoint has crashed.
 fn may_be_crash(outcome: &Outcome) -> bool {
     matches!(outcome, Outcome::Broken(Fault::Closed | Fault::Malformed))
 }
 
 impl Dispatcher {
-    /// Suspects a request whose attempt broke off, before the attempt is taken off the counts.
+    /// Suspects a request whose attempt broke off. Called before the attempt is removed from the
+    /// endpoint's usage counts.
     pub(super) fn suspect_crash(
         &mut self,
         number: RequestNumber,
@@ -109,40 +113,45 @@
                 fell_with_domain: false,
             },
         };
-        let noted = self.quarantine.crashes_of(request.fingerprint);
+        let recorded = self.quarantine.crashes_of(request.fingerprint);
         let pending_before = self.pending_crashes.of(request.fingerprint);
-        // Endpoints that end as soon as they are asked took all five attempts before the first crash was
-        // noted, so those that are not noted yet count too.
-        let wait = if noted + pending_before + 1 >= QUARANTINE_AT {
-            Some(VERDICT_AFTER)
-        } else if noted + 1 >= ALONE_AT {
-            Some(NOTED_AFTER)
+        // Where endpoints crash as soon as they get the request, it can use up all five attempts
+        // before the first crash is recorded, so pending crashes count too.
+        let wait = if recorded + pending_before + 1 >= QUARANTINE_AT {
+            Some(VERDICT_WAIT)
+        } else if recorded + 1 >= ISOLATE_AT {
+            Some(RECORD_WAIT)
         } else {
             None
         };
         request.retry_at = wait.map(|wait| self.now.after(wait));
-        self.check_ended(active.endpoint.clone(), active.address, pending);
+        self.check_exited(active.endpoint.clone(), active.address, pending);
     }
 
-    fn check_ended(&mut self, life: EndpointIncarnation, address: SocketAddr, pending: Pending) {
-        let of_life = self
+    fn check_exited(
+        &mut self,
+        incarnation: EndpointIncarnation,
+        address: SocketAddr,
+        pending: Pending,
+    ) {
+        let waiting = self
             .pending_crashes
             .checked
-            .entry(life.clone())
+            .entry(incarnation.clone())
             .or_default();
-        if of_life.is_empty() {
+        if waiting.is_empty() {
             self.actions.push(Action::CheckExited {
-                endpoint: life,
+                endpoint: incarnation,
                 address,
-                limit: CHECK_LIMIT,
+                limit: CHECK_TIMEOUT,
             });
         }
-        of_life.push(pending);
+        waiting.push(pending);
     }
 
-    /// An endpoint was checked whose connection broke.
-    pub(super) fn on_checked(&mut self, life: &EndpointIncarnation, has_exited: bool) {
-        let pending = self.pending_crashes.checked.remove(life);
+    /// Handles the result of an endpoint check.
+    pub(super) fn on_checked(&mut self, incarnation: &EndpointIncarnation, has_exited: bool) {
+        let pending = self.pending_crashes.checked.remove(incarnation);
         if has_exited {
             self.pending_crashes
                 .settling
@@ -150,31 +159,31 @@
         }
     }
 
-    /// Notes the crashes of which enough is known.
+    /// Records the pending crashes that are due.
     pub(super) fn settle_crashes(&mut self) {
         let now = self.now;
-        let is_due = |pending: &mut Pending| now >= pending.crash.at.after(CRASH_SETTLING);
+        let is_due = |pending: &mut Pending| now >= pending.crash.at.after(CRASH_RECORD_DELAY);
         let due: Vec<_> = self
             .pending_crashes
             .settling
             .extract_if(.., is_due)
             .collect();
-        let has_noted = !due.is_empty();
+        let has_recorded = !due.is_empty();
         for pending in due {
-            self.note_crash(pending);
+            self.record_crash(pending);
         }
-        if has_noted {
-            // Who ran beside may be known in other domains only.
+        if has_recorded {
+            // Only boxes in other domains may know some of the concurrent requests.
             let to = self.peers.one_of_each_other_domain(&mut self.rng, self.now);
             self.gossip_state(to);
         }
-        self.decide_crashes();
+        self.evaluate_suspects();
         if self.quarantine.has_unpublished() {
             self.publish_immediately();
         }
     }
 
-    fn note_crash(&mut self, pending: Pending) {
+    fn record_crash(&mut self, pending: Pending) {
         let Pending {
             request,
             id,
@@ -182,8 +191,9 @@
             domain,
             mut crash,
         } = pending;
-        // Calls crash one server after the other within milliseconds: that is no fall of a domain.
-        let is_explained = |life: &_| self.quarantine.may_have_ended(request, life);
+        // Requests that crash one endpoint after the other within milliseconds are no failure of
+        // the domain.
+        let is_explained = |incarnation: &_| self.quarantine.may_have_crashed(request, incarnation);
         crash.fell_with_domain =
             self.fleet
                 .fell_with_domain(&crash.endpoint, &service, &domain, crash.at, is_explained);
@@ -200,32 +210,32 @@
         });
     }
 
-    /// Quarantines requests that are to blame by what has become known; all boxes decide for themselves.
-    fn decide_crashes(&mut self) {
-        for request in self.quarantine.decide(self.now) {
+    /// Quarantines the requests that the evidence blames; each box decides for itself.
+    fn evaluate_suspects(&mut self) {
+        for request in self.quarantine.evaluate(self.now) {
             self.quarantine_request(request);
             self.gossip_soon();
         }
     }
 
-    fn keep_quarantine(&mut self, request: Fingerprint, is_quarantined: bool) {
+    fn save_quarantine(&mut self, request: Fingerprint, is_quarantined: bool) {
         self.actions.push(Action::SaveQuarantine {
             request,
             is_quarantined,
         });
     }
 
-    /// Has the store asked which requests are quarantined, once in a life of this box: where all boxes
-    /// were lost at once no other one can tell. Few boxes begin to watch the store.
+    /// Reads the stored quarantine list once per incarnation of this box: if all boxes were lost at
+    /// once, no peer can supply it. Only boxes that begin to watch the store do so, which are few.
     pub(super) fn read_quarantine_once(&mut self) {
         if !std::mem::replace(&mut self.has_requested_quarantine, true) {
             self.actions.push(Action::ReadQuarantine);
         }
     }
 
-    /// The store told which requests are quarantined.
-    pub(super) fn on_quarantine_read(&mut self, kept: &[RequestAge]) {
-        for request in self.quarantine.on_kept(kept, self.now) {
+    /// Merges the quarantine list that was read from the store.
+    pub(super) fn on_quarantine_read(&mut self, stored: &[RequestAge]) {
+        for request in self.quarantine.on_stored(stored, self.now) {
             self.quarantine_request(request);
         }
         if self.quarantine.has_unpublished() {
@@ -234,10 +244,10 @@
         }
     }
 
-    /// Other boxes told of crashes.
-    pub(super) fn on_peer_crashes(&mut self, domain: Option<&DomainId>, news: &CrashUpdate) {
-        let is_near = domain.is_none_or(|domain| *domain == self.cfg.domain);
-        for request in self.quarantine.on_told(news, is_near, self.now) {
+    /// Merges crash reports from another box.
+    pub(super) fn on_peer_crashes(&mut self, domain: Option<&DomainId>, update: &CrashUpdate) {
+        let is_local = domain.is_none_or(|domain| *domain == self.cfg.domain);
+        for request in self.quarantine.on_peer_update(update, is_local, self.now) {
             self.gossip_soon();
             self.quarantine_request(request);
         }
@@ -246,15 +256,15 @@
         }
     }
 
-    /// Gives up what is served of a request that is quarantined from now on: an attempt that has not
-    /// begun to run yet costs no endpoint.
+    /// Refuses all requests with a fingerprint that is quarantined from now on. An attempt that has
+    /// not begun to run yet is thereby stopped before it crashes an endpoint.
     fn quarantine_request(&mut self, fingerprint: Fingerprint) {
         self.record(Record::Quarantined {
             fingerprint: fingerprint.hex(),
             crashes: self.quarantine.crashes_of(fingerprint),
         });
-        if self.quarantine.is_noted_here(fingerprint) {
-            self.keep_quarantine(fingerprint, true);
+        if self.quarantine.is_recorded_here(fingerprint) {
+            self.save_quarantine(fingerprint, true);
         }
         let requests = self.requests.iter();
         let quarantined = requests.filter(|(_, request)| request.fingerprint == fingerprint);
@@ -264,7 +274,7 @@
         }
     }
 
-    /// Gives a request up that is quarantined; returns whether it is.
+    /// Refuses a request that is quarantined; returns whether it is.
     pub(super) fn give_up_quarantined(&mut self, number: RequestNumber) -> bool {
         let request = self.requests.get(&number);
         let is_quarantined =
@@ -275,27 +285,28 @@
         is_quarantined
     }
 
-    /// Whether a request is to run where nothing else does: one more crash decides about it.
+    /// Returns whether a request is to run alone at an endpoint, as one more crash decides about
+    /// it.
     pub(super) fn runs_alone(&self, number: RequestNumber) -> bool {
         let request = self.requests.get(&number);
-        request.is_some_and(|r| self.quarantine.crashes_of(r.fingerprint) >= ALONE_AT)
+        request.is_some_and(|r| self.quarantine.crashes_of(r.fingerprint) >= ISOLATE_AT)
     }
 
-    /// Notes that a request was answered.
+    /// Records that a request was answered, which ends its quarantine.
     pub(super) fn clear_suspicion(&mut self, fingerprint: Fingerprint) {
         let was_quarantined = self.quarantine.is_quarantined(fingerprint);
         self.quarantine.on_served(fingerprint, self.now);
         if was_quarantined {
-            self.keep_quarantine(fingerprint, false);
+            self.save_quarantine(fingerprint, false);
         }
     }
 
-    /// Forgets old crashes.
+    /// Removes expired crashes.
     pub(super) fn forget_crashes(&mut self) {
-        for (fingerprint, is_noted_here) in self.quarantine.forget_old(self.now) {
-            // One box of all has the store forget it.
-            if is_noted_here {
-                self.keep_quarantine(fingerprint, false);
+        for (fingerprint, is_recorded_here) in self.quarantine.forget_old(self.now) {
+            // Only the box that recorded the last crash removes the stored entry.
+            if is_recorded_here {
+                self.save_quarantine(fingerprint, false);
             }
             self.record(Record::Released {
                 fingerprint: fingerprint.hex(),
@@ -303,8 +314,8 @@
         }
     }
 
-    /// Notes how far a stream has come, for crashes that it may be past.
-    pub(super) fn note_crash_progress(&mut self, number: RequestNumber) {
+    /// Records how far a stream has got, as it may have got past the point of earlier crashes.
+    pub(super) fn record_crash_progress(&mut self, number: RequestNumber) {
         let Some(request) = self.requests.get(&number) else {
             return;
         };
--- a/src/gateway/dispatch/gossip.rs
+++ b/src/gateway/dispatch/gossip.rs
@@ -230,7 +230,7 @@
     /// Sends this box's state to others; a seed whose failure domain is not known is taken for one
     /// of the own.
     pub(super) fn gossip_state(&mut self, to: Vec<SocketAddr>) {
-        let crashes = self.quarantine.news_for_state(self.now);
+        let crashes = self.quarantine.update_for_state(self.now);
         self.gossip_with(to, &crashes);
     }
 
--- a/src/gateway/dispatch/outcomes.rs
+++ b/src/gateway/dispatch/outcomes.rs
@@ -84,7 +84,7 @@
             endpoint.heard = now;
             endpoint.own.prefill = endpoint.own.prefill.saturating_sub(prefilled);
         }
-        self.note_crash_progress(number);
+        self.record_crash_progress(number);
         self.sample_events(number, attempt);
         if is_first {
             self.count_began(number);
--- a/src/gateway/dispatch/quarantine.rs
+++ b/src/gateway/dispatch/quarantine.rs
@@ -1,29 +1,32 @@
-//! Which requests crash the endpoints that run them (queries of death), and are quarantined for it.
+//! Detects requests that crash the endpoints that run them, and quarantines them.
 //!
-//! Callers send a failed request again, at any box, and each try gets all attempts of its route: two
-//! such requests ended 75 engines in a minute. So boxes remember under which requests endpoints ended,
-//! by [`Fingerprint`], tell each other, and send a request that is to blame nowhere any more.
+//! Callers retry a failed request at any box, and each retry gets all attempts of its route: two
+//! such requests crashed 75 engines within a minute. Boxes therefore record, by [`Fingerprint`],
+//! which requests were running when an endpoint crashed, exchange these records, and stop sending a
+//! request that is found to cause crashes to any endpoint.
 //!
-//! The difficulty is who is to blame. All that runs at an endpoint breaks off with it: of 74 engines
-//! 46 ran up to eight innocent streams beside, and some of these met four crashes in a row. A crash
-//! counts against a request unless
+//! The difficulty is attribution. All requests at an endpoint fail with it: 46 of 74 crashed
+//! engines were also running up to eight innocent streams, and some of these streams met four
+//! crashes in a row. A crash counts against a request unless
 //!
-//! - it was served since, or has got past the point of the crash at another endpoint;
-//! - it came at another point than the others: a crash of the request's own doing comes at the same
-//!   event, or as long after its first one, each time;
-//! - a request that is quarantined ran there too: that explains it;
-//! - others of the endpoint's failure domain ended at the same time ([`super::fleet`]).
+//! - the request was served since, or got past the point of the crash at another endpoint;
+//! - it came at another point of the request than the other crashes: a request that causes crashes
+//!   does so at the same event, or the same time after its first event, on each run;
+//! - a quarantined request was running at the same endpoint, which explains the crash;
+//! - other endpoints of the same failure domain ended at the same time ([`super::fleet`]).
 //!
-//! A request is quarantined after [`QUARANTINE_AT`] crashes that count, if at one of them it alone can
-//! be to blame: all that ran beside it has been served since or got on. After two crashes it is placed
-//! where nothing else runs, and nothing is placed beside it ([`super::attempts`]), so that the third one
-//! tells, and costs nobody else. Where that can't be had it is quarantined after
-//! [`QUARANTINE_ANYWAY_AT`] crashes that it is not past, whatever they came from. It is forgotten
-//! [`CRASHES_KEPT_FOR`] after its last crash, so a server that was mended meanwhile gets it again.
+//! A request is quarantined after [`QUARANTINE_AT`] crashes that count if it is the sole suspect
+//! for at least one of them: all concurrent requests have since been served or got past the crash.
+//! After two crashes the request is placed alone, and nothing is placed next to it
+//! ([`super::attempts`]), so that the third crash is conclusive and affects no other request. Where
+//! it can't be placed alone it is quarantined after [`QUARANTINE_UNCONDITIONALLY_AT`] crashes that
+//! it has not got past, whatever their cause. A request is forgotten [`CRASH_RETENTION`] after its
+//! last crash, so that servers that were repaired in the meantime get it again.
 //!
-//! Owns: crashes and who was there. Relies on: endpoints that were checked to have ended, since a
-//! connection that breaks alone is no crash ([`super::crashes`]). Weighed in docs/design/quarantine.md:
-//! counting per box, blaming all that ran, and asking the store.
+//! The module owns the crashes and the sets of concurrent requests. Its input must be endpoints
+//! that were verified to have ended, since a broken connection alone is no crash
+//! ([`super::crashes`]). docs/design/quarantine.md compares this with counting per box, with
+//! blaming all concurrent requests, and with asking the store.
 
 mod suspect;
 mod updates;
@@ -35,126 +38,129 @@
 pub use suspect::Crash;
 use suspect::Suspect;
 
-/// Crashes after which a request is quarantined that alone can be to blame for one of them: the users'
-/// rule allows three more arrivals from then on.
+/// Crashes after which a request is quarantined if it is the sole suspect for one of them. The
+/// service allows three more arrivals of it from then on.
 pub const QUARANTINE_AT: usize = 3;
-/// Crashes after which it is quarantined in any case. Two more than above, so that it stays within
-/// that rule.
-const QUARANTINE_ANYWAY_AT: usize = 5;
-/// Crashes after which a request is placed where nothing else runs: the next one decides.
-pub const ALONE_AT: usize = QUARANTINE_AT - 1;
-/// How long a crash counts, and so how long a request is quarantined after its last one. Chosen: an
-/// operator notices and mends the servers meanwhile.
-pub const CRASHES_KEPT_FOR: Duration = Duration::from_secs(30 * 60);
-/// How long after its last crash a request is decided about: by then boxes of all failure domains have
-/// told what ran beside. With 50 ms 8 of 88,000 innocent callers were quarantined beside up to 26
-/// crashing requests at once, whose boxes were in other domains (`magpiemoor-lab crashes`, 60 plays).
-pub const DECIDED_AFTER: Duration = Duration::from_millis(150);
-/// How many requests are remembered: some 300 bytes each.
-const MOST_SUSPECTS: usize = 2_000;
+/// Crashes after which a request is quarantined in any case: two more than [`QUARANTINE_AT`], which
+/// stays within the three further arrivals that the service allows.
+const QUARANTINE_UNCONDITIONALLY_AT: usize = 5;
+/// Crashes after which a request is placed alone at an endpoint, so that the next crash is
+/// conclusive.
+pub const ISOLATE_AT: usize = QUARANTINE_AT - 1;
+/// How long a crash counts, and so how long a request stays quarantined after its last crash. Gives
+/// an operator time to notice and repair the servers.
+pub const CRASH_RETENTION: Duration = Duration::from_secs(30 * 60);
+/// Delay from the last crash of a request to its evaluation. By then boxes of all failure domains
+/// have reported the concurrent requests. With 50 ms, 8 of 88,000 innocent callers were quarantined
+/// when up to 26 requests at boxes of other domains caused crashes at once (60 runs of
+/// `magpiemoor-lab crashes`).
+pub const EVALUATION_DELAY: Duration = Duration::from_millis(150);
+/// Requests that are remembered, some 300 bytes each.
+const MAX_SUSPECTS: usize = 2_000;
 
-/// Who ran at a life of an endpoint when it ended.
+/// The requests that were running at an endpoint incarnation when it ended.
 #[derive(Debug, Default)]
-struct Witnesses {
+struct ConcurrentRequests {
     at: Micros,
     requests: BTreeSet<Fingerprint>,
 }
 
-/// Requests under which endpoints ended.
+/// Requests that were running at endpoints when these crashed.
 #[derive(Debug, Default)]
 pub struct Quarantine {
     suspects: BTreeMap<Fingerprint, Suspect>,
-    lives: BTreeMap<EndpointIncarnation, Witnesses>,
-    /// What boxes of the own failure domain have not been told.
+    incarnations: BTreeMap<EndpointIncarnation, ConcurrentRequests>,
+    /// Requests whose changes the boxes of this failure domain have not received yet.
     unpublished: BTreeSet<Fingerprint>,
-    /// Requests about which something has become known since they were decided about.
-    undecided: BTreeSet<Fingerprint>,
-    /// Which of the requests that are quarantined was told last for its own sake.
-    last_told: Option<Fingerprint>,
+    /// Requests with new evidence since their last evaluation.
+    pending_evaluation: BTreeSet<Fingerprint>,
+    /// The quarantined request whose verdict was last added to a state message in turn.
+    last_published: Option<Fingerprint>,
 }
 
 impl Quarantine {
-    /// Whether a request is quarantined.
+    /// Returns whether a request is quarantined.
     #[must_use]
     pub fn is_quarantined(&self, request: Fingerprint) -> bool {
         let suspect = self.suspects.get(&request);
         suspect.is_some_and(|suspect| suspect.quarantined.is_some())
     }
 
-    /// How many crashes count against a request.
+    /// Returns how many crashes count against a request.
     #[must_use]
     pub fn crashes_of(&self, request: Fingerprint) -> usize {
         let suspect = self.suspects.get(&request);
         suspect.map_or(0, |suspect| self.counted(request, suspect).len())
     }
 
-    /// Whether this box noted the last crash of a request: of all boxes it then sees to what follows.
+    /// Returns whether this box recorded the last crash of a request. Only that box updates the
+    /// stored quarantine list.
     #[must_use]
-    pub fn is_noted_here(&self, request: Fingerprint) -> bool {
+    pub fn is_recorded_here(&self, request: Fingerprint) -> bool {
         let suspect = self.suspects.get(&request);
-        suspect.is_some_and(|suspect| suspect.is_noted_here)
+        suspect.is_some_and(|suspect| suspect.is_recorded_here)
     }
 
-    /// The requests that are quarantined, and since when.
+    /// Returns the quarantined requests, each with the time of its quarantine.
     pub fn quarantined(&self) -> impl Iterator<Item = (Fingerprint, Micros)> {
         let suspects = self.suspects.iter();
         suspects.filter_map(|(request, suspect)| Some((*request, suspect.quarantined?)))
     }
 
-    /// How many requests are remembered.
+    /// Returns the number of remembered requests.
     #[must_use]
-    pub fn known(&self) -> usize {
+    pub fn suspect_count(&self) -> usize {
         self.suspects.len()
     }
 
-    /// Notes that an endpoint ended under a request.
+    /// Records that an endpoint crashed while it ran a request.
     pub fn on_crash(&mut self, request: Fingerprint, crash: Crash, now: Micros) {
         self.unpublished.insert(request);
-        if self.take_crash(request, crash, true, now) {
-            self.reconsider(&[request]);
+        if self.merge_crash(request, crash, true, now) {
+            self.schedule_evaluation(&[request]);
         }
     }
 
-    /// Decides about requests of which enough is known; returns those that are quarantined from now on.
-    pub fn decide(&mut self, now: Micros) -> Vec<Fingerprint> {
-        let mut due = std::mem::take(&mut self.undecided);
+    /// Evaluates the requests that are due; returns those that are quarantined from now on.
+    pub fn evaluate(&mut self, now: Micros) -> Vec<Fingerprint> {
+        let mut due = std::mem::take(&mut self.pending_evaluation);
         due.retain(|request| {
-            let is_due = self.decided_at(*request) <= now;
+            let is_due = self.evaluation_due(*request) <= now;
             if !is_due {
-                self.undecided.insert(*request);
+                self.pending_evaluation.insert(*request);
             }
             is_due
         });
-        due.retain(|request| self.judge(*request, now));
+        due.retain(|request| self.quarantine_if_blamed(*request, now));
         due.into_iter().collect()
     }
 
-    /// When the next request is to be decided about.
+    /// Returns when the next request is due for evaluation.
     #[must_use]
-    pub fn due(&self) -> Option<Micros> {
-        let undecided = self.undecided.iter();
-        undecided.map(|request| self.decided_at(*request)).min()
+    pub fn next_evaluation(&self) -> Option<Micros> {
+        let pending = self.pending_evaluation.iter();
+        pending.map(|request| self.evaluation_due(*request)).min()
     }
 
-    fn decided_at(&self, request: Fingerprint) -> Micros {
+    fn evaluation_due(&self, request: Fingerprint) -> Micros {
         let suspect = self.suspects.get(&request);
         let crashes = suspect.into_iter().flat_map(|suspect| &suspect.crashes);
         let last = crashes.map(|crash| crash.at).max();
-        last.unwrap_or_default().after(DECIDED_AFTER)
+        last.unwrap_or_default().after(EVALUATION_DELAY)
     }
 
-    /// Has requests decided about again, and those that ran beside them: what became known of these may
-    /// leave the others alone to blame.
-    fn reconsider(&mut self, requests: &[Fingerprint]) {
+    /// Schedules requests for evaluation, together with all that ran concurrently with them:
+    /// evidence that clears one request may leave another as the sole suspect.
+    fn schedule_evaluation(&mut self, requests: &[Fingerprint]) {
         let suspects = requests.iter().filter_map(|r| self.suspects.get(r));
         let crashes = suspects.flat_map(|suspect| &suspect.crashes);
-        let lives = crashes.filter_map(|crash| self.lives.get(&crash.endpoint));
-        let beside = lives.flat_map(|witnesses| witnesses.requests.iter().copied());
-        let beside: Vec<_> = beside.chain(requests.iter().copied()).collect();
-        self.undecided.extend(beside);
+        let incarnations = crashes.filter_map(|crash| self.incarnations.get(&crash.endpoint));
+        let concurrent = incarnations.flat_map(|concurrent| concurrent.requests.iter().copied());
+        let concurrent: Vec<_> = concurrent.chain(requests.iter().copied()).collect();
+        self.pending_evaluation.extend(concurrent);
     }
 
-    /// Notes how far a request has come at an endpoint.
+    /// Records how far a request has got at an endpoint.
     pub fn on_progress(
         &mut self,
         request: Fingerprint,
@@ -168,11 +174,11 @@
         if suspect.on_progress(last_event, ran) {
             suspect.changed = now;
             self.unpublished.insert(request);
-            self.reconsider(&[request]);
+            self.schedule_evaluation(&[request]);
         }
     }
 
-    /// Notes that a request was answered.
+    /// Records that a request was answered.
     pub fn on_served(&mut self, request: Fingerprint, now: Micros) {
         let Some(suspect) = self.suspects.get_mut(&request) else {
             return;
@@ -180,50 +186,56 @@
         if !suspect.crashes.is_empty() {
             suspect.changed = now;
             self.unpublished.insert(request);
-            self.reconsider(&[request]);
-            self.take_served(request, now, now);
+            self.schedule_evaluation(&[request]);
+            self.merge_served(request, now, now);
         }
     }
 
-    /// Whether a request, or one that is quarantined, ran at a life of an endpoint when that ended.
+    /// Returns whether a request, or a quarantined one, was running at an endpoint incarnation when
+    /// that ended.
     #[must_use]
-    pub fn may_have_ended(&self, request: Fingerprint, life: &EndpointIncarnation) -> bool {
-        let witnesses = self.lives.get(life);
-        witnesses.is_some_and(|witnesses| {
-            let mut requests = witnesses.requests.iter();
+    pub fn may_have_crashed(
+        &self,
+        request: Fingerprint,
+        incarnation: &EndpointIncarnation,
+    ) -> bool {
+        let concurrent = self.incarnations.get(incarnation);
+        concurrent.is_some_and(|concurrent| {
+            let mut requests = concurrent.requests.iter();
             requests.any(|other| *other == request || self.is_quarantined(*other))
         })
     }
 
-    /// Takes in a crash; returns whether it is news.
-    fn take_crash(
+    /// Merges a crash into the records; returns whether it adds anything.
+    fn merge_crash(
         &mut self,
         request: Fingerprint,
         crash: Crash,
         is_own: bool,
         now: Micros,
     ) -> bool {
-        if now.since(crash.at) >= CRASHES_KEPT_FOR {
+        if now.since(crash.at) >= CRASH_RETENTION {
             return false;
         }
-        let witnesses = self.lives.entry(crash.endpoint.clone()).or_default();
-        witnesses.at = witnesses.at.max(crash.at);
-        witnesses.requests.insert(request);
+        let concurrent = self.incarnations.entry(crash.endpoint.clone()).or_default();
+        concurrent.at = concurrent.at.max(crash.at);
+        concurrent.requests.insert(request);
         let suspect = self.suspects.entry(request).or_default();
-        let is_news = suspect.on_crash(crash, is_own);
-        if is_news {
+        let is_new = suspect.on_crash(crash, is_own);
+        if is_new {
             suspect.changed = now;
-            self.forget_beyond(MOST_SUSPECTS);
+            self.evict_beyond(MAX_SUSPECTS);
         }
-        is_news
+        is_new
     }
 
-    /// Decides about a request; returns whether it is quarantined from now on.
-    fn judge(&mut self, request: Fingerprint, now: Micros) -> bool {
+    /// Quarantines a request if the evidence suffices; returns whether it is quarantined from now
+    /// on.
+    fn quarantine_if_blamed(&mut self, request: Fingerprint, now: Micros) -> bool {
         let Some(suspect) = self.suspects.get(&request) else {
             return false;
         };
-        if suspect.quarantined.is_some() || !self.is_to_blame(request, suspect) {
+        if suspect.quarantined.is_some() || !self.is_blamed(request, suspect) {
             return false;
         }
         if let Some(suspect) = self.suspects.get_mut(&request) {
@@ -234,42 +246,44 @@
         true
     }
 
-    /// The rule at the head of this module.
-    fn is_to_blame(&self, request: Fingerprint, suspect: &Suspect) -> bool {
-        if suspect.open().count() >= QUARANTINE_ANYWAY_AT {
+    /// Applies the quarantine rule that the module documentation states.
+    fn is_blamed(&self, request: Fingerprint, suspect: &Suspect) -> bool {
+        if suspect.unpassed().count() >= QUARANTINE_UNCONDITIONALLY_AT {
             return true;
         }
         let counted = self.counted(request, suspect);
-        let mut alone = counted
+        let mut sole = counted
             .iter()
-            .filter(|crash| self.is_alone_to_blame(request, crash));
-        counted.len() >= QUARANTINE_AT && alone.next().is_some()
+            .filter(|crash| self.is_sole_suspect(request, crash));
+        counted.len() >= QUARANTINE_AT && sole.next().is_some()
     }
 
-    /// Crashes that count against the request: the most that came at one point of it.
+    /// Returns the crashes that count against a request: the largest group that came at the same
+    /// point of it.
     fn counted<'a>(&self, request: Fingerprint, suspect: &'a Suspect) -> Vec<&'a Crash> {
-        let open = suspect.open().filter(|crash| !crash.fell_with_domain);
-        let open: Vec<&Crash> = open
+        let unpassed = suspect.unpassed().filter(|crash| !crash.fell_with_domain);
+        let unpassed: Vec<&Crash> = unpassed
             .filter(|crash| !self.is_explained(request, crash))
             .collect();
         let at_point_of = |one: &Crash| -> Vec<&'a Crash> {
-            let same = open.iter().filter(|other| one.agrees_with(other));
+            let same = unpassed.iter().filter(|other| one.agrees_with(other));
             same.copied().collect()
         };
-        let points = open.iter().map(|one| at_point_of(one));
+        let points = unpassed.iter().map(|one| at_point_of(one));
         points.max_by_key(Vec::len).unwrap_or_default()
     }
 
-    /// Whether a request that is quarantined ran there too.
+    /// Returns whether a quarantined request that is suspected of the crash was running there too.
     fn is_explained(&self, request: Fingerprint, crash: &Crash) -> bool {
-        let mut others = self.others_at(request, crash);
+        let mut others = self.concurrent_with(request, crash);
         others.any(|other| self.is_quarantined(other) && self.is_suspected_of(other, crash))
     }
 
-    /// Whether all that ran beside a request is known, and is not suspected any more.
-    fn is_alone_to_blame(&self, request: Fingerprint, crash: &Crash) -> bool {
-        let known = self.others_at(request, crash).count();
-        let mut others = self.others_at(request, crash);
+    /// Returns whether all requests concurrent with this one are known and none of them is
+    /// suspected of the crash any more.
+    fn is_sole_suspect(&self, request: Fingerprint, crash: &Crash) -> bool {
+        let known = self.concurrent_with(request, crash).count();
+        let mut others = self.concurrent_with(request, crash);
         known >= crash.beside as usize && others.all(|other| !self.is_suspected_of(other, crash))
     }
 
@@ -278,39 +292,40 @@
         suspect.is_some_and(|suspect| suspect.is_suspected_of(&crash.endpoint))
     }
 
-    /// Others that ran at an endpoint when it ended.
-    fn others_at<'a>(
+    /// Returns the other requests that were running at an endpoint when it crashed.
+    fn concurrent_with<'a>(
         &'a self,
         request: Fingerprint,
         crash: &Crash,
     ) -> impl Iterator<Item = Fingerprint> + use<'a> {
-        let witnesses = self.lives.get(&crash.endpoint);
-        let requests = witnesses
+        let concurrent = self.incarnations.get(&crash.endpoint);
+        let requests = concurrent
             .into_iter()
             .flat_map(|w| w.requests.iter().copied());
         requests.filter(move |other| *other != request)
     }
 
-    /// Forgets what is old; returns the requests that are quarantined no more, and whether this box
-    /// noted the last crash of each.
+    /// Removes expired records; returns the requests that are released from quarantine, each with
+    /// whether this box recorded its last crash.
     pub fn forget_old(&mut self, now: Micros) -> Vec<(Fingerprint, bool)> {
-        let is_old = |at: Micros| now.since(at) >= CRASHES_KEPT_FOR;
-        self.lives.retain(|_, witnesses| !is_old(witnesses.at));
+        let is_old = |at: Micros| now.since(at) >= CRASH_RETENTION;
+        self.incarnations
+            .retain(|_, concurrent| !is_old(concurrent.at));
         let mut released = Vec::new();
         self.suspects.retain(|request, suspect| {
-            let is_kept = !is_old(suspect.last());
-            if !is_kept && suspect.quarantined.is_some() {
-                released.push((*request, suspect.is_noted_here));
+            let is_retained = !is_old(suspect.last());
+            if !is_retained && suspect.quarantined.is_some() {
+                released.push((*request, suspect.is_recorded_here));
             }
-            is_kept
+            is_retained
         });
         released
     }
 
-    /// Forgets the oldest of those that fewest crashes count against once there are too many, a tenth of
-    /// all at once.
-    fn forget_beyond(&mut self, most: usize) {
-        if self.suspects.len() <= most {
+    /// If there are more than `limit` requests, evicts a tenth of `limit` at once: first those that
+    /// are not quarantined, then those with the fewest crashes, then the oldest.
+    fn evict_beyond(&mut self, limit: usize) {
+        if self.suspects.len() <= limit {
             return;
         }
         let mut all: Vec<_> = self
@@ -322,22 +337,22 @@
             })
             .collect();
         all.sort_unstable();
-        for (_, _, request) in all.into_iter().take(most / 10) {
+        for (_, _, request) in all.into_iter().take(limit / 10) {
             if let Some(forgotten) = self.suspects.remove(&request) {
-                self.forget_lives_of(request, &forgotten);
+                self.forget_incarnations_of(request, &forgotten);
             }
         }
     }
 
-    fn forget_lives_of(&mut self, request: Fingerprint, forgotten: &Suspect) {
+    fn forget_incarnations_of(&mut self, request: Fingerprint, forgotten: &Suspect) {
         self.unpublished.remove(&request);
         for crash in &forgotten.crashes {
-            let Some(witnesses) = self.lives.get_mut(&crash.endpoint) else {
+            let Some(concurrent) = self.incarnations.get_mut(&crash.endpoint) else {
                 continue;
             };
-            witnesses.requests.remove(&request);
-            if witnesses.requests.is_empty() {
-                self.lives.remove(&crash.endpoint);
+            concurrent.requests.remove(&request);
+            if concurrent.requests.is_empty() {
+                self.incarnations.remove(&crash.endpoint);
             }
         }
     }
--- a/src/gateway/dispatch/quarantine/suspect.rs
+++ b/src/gateway/dispatch/quarantine/suspect.rs
@@ -1,59 +1,59 @@
-//! One request under which endpoints ended.
+//! The record of one request that was running at endpoints when they crashed.
 
 use std::time::Duration;
 
 use crate::schema::{CrashReport, EndpointIncarnation, Fingerprint, Micros};
 
-/// How much longer than before the crash a request must run elsewhere to be past it. A request that
-/// crashes its endpoint does so at the same point each time, a little sooner or later: 34 to 114 ms
-/// after its first token on the users' days.
-const PASSED_BY: Duration = Duration::from_secs(1);
+/// How much longer than before the crash a request must run elsewhere to have got past it. A
+/// request that causes crashes does so at nearly the same point each time: 34 to 114 ms after its
+/// first token.
+const PASSED_MARGIN: Duration = Duration::from_secs(1);
 
-/// How far two crashes at the same point of a request lie apart, in events and in time: those of
-/// the users' days 80 ms; events on their way are lost with a connection.
-const SAME_EVENT: u64 = 3;
-const SAME_RUN: Duration = Duration::from_millis(300);
+/// How far two crashes at the same point of a request may lie apart, in events and in time. They
+/// were up to 80 ms apart in practice, and events in flight are lost with the connection.
+const SAME_POINT_EVENTS: u64 = 3;
+const SAME_POINT_TIME: Duration = Duration::from_millis(300);
 
-/// How far two accounts of one time may lie apart: each way between boxes adds to its age.
-const SAME_TIME: Duration = Duration::from_secs(1);
+/// How far two reports of one crash may differ in time: each hop between boxes adds to its age.
+const SAME_CRASH_WITHIN: Duration = Duration::from_secs(1);
 
-/// A life of an endpoint that ended while it ran the request.
+/// The end of an endpoint incarnation that was running the request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Crash {
-    /// The life.
+    /// The incarnation that ended.
     pub endpoint: EndpointIncarnation,
     /// When it ended.
     pub at: Micros,
-    /// The last event that the caller had got, or 0.
+    /// The last event that the caller had received, or 0.
     pub last_event: u64,
-    /// The time since the first event there.
+    /// The time since the first event of the request at this endpoint.
     pub ran: Duration,
-    /// Requests that ran beside it, as far as was known.
+    /// Concurrent requests at the endpoint, as far as this box or the reporting one knew.
     pub beside: u32,
     /// Whether the request has since got past that point elsewhere.
     pub is_passed: bool,
-    /// Whether others of the endpoint's failure domain ended at the same time.
+    /// Whether other endpoints of the same failure domain ended at the same time.
     pub fell_with_domain: bool,
 }
 
 impl Crash {
-    /// What was told of one.
+    /// Builds a crash from a peer's report.
     #[must_use]
-    pub fn told(note: &CrashReport, now: Micros) -> Self {
+    pub fn from_report(report: &CrashReport, now: Micros) -> Self {
         Self {
-            endpoint: note.endpoint.clone(),
-            at: now.before(Duration::from_millis(note.age_ms.into())),
-            last_event: note.last_event,
-            ran: Duration::from_millis(note.ran_ms.into()),
-            beside: note.beside,
-            is_passed: note.is_passed,
-            fell_with_domain: note.fell_with_domain,
+            endpoint: report.endpoint.clone(),
+            at: now.before(Duration::from_millis(report.age_ms.into())),
+            last_event: report.last_event,
+            ran: Duration::from_millis(report.ran_ms.into()),
+            beside: report.beside,
+            is_passed: report.is_passed,
+            fell_with_domain: report.fell_with_domain,
         }
     }
 
-    /// What is told of it.
+    /// Builds the report of the crash for peers.
     #[must_use]
-    pub fn note(&self, request: Fingerprint, now: Micros) -> CrashReport {
+    pub fn to_report(&self, request: Fingerprint, now: Micros) -> CrashReport {
         CrashReport {
             request,
             endpoint: self.endpoint.clone(),
@@ -66,14 +66,15 @@
         }
     }
 
-    /// Whether both are accounts of one crash. An endpoint that is back under its id is taken for the
-    /// life before until its birth is known, and may end again by then.
+    /// Returns whether both describe one crash. A restarted endpoint is taken for its previous
+    /// incarnation until its start time is known, and may crash again before that, so the times are
+    /// compared too.
     fn is_same(&self, other: &Self) -> bool {
         let apart = self.at.since(other.at).max(other.at.since(self.at));
-        self.endpoint == other.endpoint && apart < SAME_TIME
+        self.endpoint == other.endpoint && apart < SAME_CRASH_WITHIN
     }
 
-    /// Takes in another account of the same crash; returns whether it says more.
+    /// Merges another report of the same crash; returns whether it added anything.
     fn merge(&mut self, other: &Self) -> bool {
         let before = self.clone();
         self.last_event = self.last_event.max(other.last_event);
@@ -84,37 +85,38 @@
         *self != before
     }
 
-    /// Whether both can be of the request's own doing: at the same event, or as long after the first
-    /// event there.
+    /// Returns whether both crashes can be caused by the request itself: they came at the same
+    /// event, or the same time after the first event.
     #[must_use]
     pub fn agrees_with(&self, other: &Self) -> bool {
-        let is_same_event = self.last_event.abs_diff(other.last_event) <= SAME_EVENT;
-        is_same_event || self.ran.abs_diff(other.ran) <= SAME_RUN
+        let is_same_event = self.last_event.abs_diff(other.last_event) <= SAME_POINT_EVENTS;
+        is_same_event || self.ran.abs_diff(other.ran) <= SAME_POINT_TIME
     }
 
-    /// Whether a run that has come so far is past it.
+    /// Returns whether a run that has got this far is past the crash.
     fn is_passed_by(&self, last_event: u64, ran: Duration) -> bool {
-        last_event > self.last_event && ran > self.ran + PASSED_BY
+        last_event > self.last_event && ran > self.ran + PASSED_MARGIN
     }
 }
 
-/// A request under which endpoints ended, or that was served although they did.
+/// A request that was running at endpoints when they crashed, or that was served in spite of that.
 #[derive(Clone, Debug, Default)]
 pub struct Suspect {
-    /// The lives that ended since it was served last.
+    /// The crashes since the request was last served.
     pub crashes: Vec<Crash>,
-    /// When it was served.
+    /// When the request was last served.
     pub served: Option<Micros>,
-    /// Since when it is quarantined.
+    /// Since when the request is quarantined.
     pub quarantined: Option<Micros>,
-    /// When something of it changed.
+    /// When this record last changed.
     pub changed: Micros,
-    /// Whether this box noted the last of its crashes.
-    pub is_noted_here: bool,
+    /// Whether this box recorded the last of the crashes.
+    pub is_recorded_here: bool,
 }
 
 impl Suspect {
-    /// Takes in a crash that this box noted, or another one; returns whether that is news.
+    /// Records a crash; `is_own` tells whether this box observed it. Returns whether it adds
+    /// anything.
     pub fn on_crash(&mut self, crash: Crash, is_own: bool) -> bool {
         if self.served.is_some_and(|served| crash.at <= served) {
             return false;
@@ -123,16 +125,16 @@
         if let Some(known) = known.find(|known| known.is_same(&crash)) {
             return known.merge(&crash);
         }
-        self.is_noted_here = is_own;
+        self.is_recorded_here = is_own;
         self.crashes.push(crash);
         true
     }
 
-    /// Takes in that it was served; returns whether that is news.
+    /// Records that the request was served; returns whether that is new.
     pub fn on_served(&mut self, at: Micros) -> bool {
         if self
             .served
-            .is_some_and(|served| at <= served.after(SAME_TIME))
+            .is_some_and(|served| at <= served.after(SAME_CRASH_WITHIN))
         {
             return false;
         }
@@ -142,7 +144,8 @@
         true
     }
 
-    /// Takes in how far it has come at another endpoint; returns whether it got past a crash.
+    /// Records how far the request has got at another endpoint; returns whether it got past a
+    /// crash.
     pub fn on_progress(&mut self, last_event: u64, ran: Duration) -> bool {
         let mut has_passed = false;
         for crash in self.crashes.iter_mut().filter(|crash| !crash.is_passed) {
@@ -152,17 +155,17 @@
         has_passed
     }
 
-    /// The crashes that it is not past.
-    pub fn open(&self) -> impl Iterator<Item = &Crash> {
+    /// Returns the crashes that the request has not got past.
+    pub fn unpassed(&self) -> impl Iterator<Item = &Crash> {
         self.crashes.iter().filter(|crash| !crash.is_passed)
     }
 
-    /// Whether it is still suspected for the end of a life.
-    pub fn is_suspected_of(&self, life: &EndpointIncarnation) -> bool {
-        self.open().any(|crash| crash.endpoint == *life)
+    /// Returns whether the request is still suspected of having ended an incarnation.
+    pub fn is_suspected_of(&self, incarnation: &EndpointIncarnation) -> bool {
+        self.unpassed().any(|crash| crash.endpoint == *incarnation)
     }
 
-    /// When it was last suspected or served.
+    /// Returns when the request was last suspected, quarantined or served.
     pub fn last(&self) -> Micros {
         let crashes = self.crashes.iter().map(|crash| crash.at);
         let others = [self.served, self.quarantined];
--- a/src/gateway/dispatch/quarantine/updates.rs
+++ b/src/gateway/dispatch/quarantine/updates.rs
@@ -1,60 +1,67 @@
-//! What boxes tell each other of crashing requests.
+//! Exchanges crash reports and quarantine verdicts between boxes.
 //!
-//! News go to all boxes of the own failure domain at once, and with the next states to some of other
-//! domains, whose boxes pass them on in theirs. A request that is quarantined is told now and then as
-//! long as it is, for boxes that were cut off, and all of them to a box that has started.
+//! An update goes to all boxes of the same failure domain at once, and with the next state messages
+//! to some boxes of other domains, which forward it within their own. Verdicts are repeated in turn
+//! for as long as a request is quarantined, for boxes that were cut off, and a box that has started
+//! gets all of them that fit a datagram.
 
 use std::time::Duration;
 
 use super::suspect::Crash;
-use super::{CRASHES_KEPT_FOR, MOST_SUSPECTS, Quarantine, Suspect};
+use super::{CRASH_RETENTION, MAX_SUSPECTS, Quarantine, Suspect};
 use crate::schema::{CrashReport, CrashUpdate, Fingerprint, Micros, RequestAge};
 
-/// How long after a change a request is told with each state. Over the time in which all of 295
-/// boxes hear of it by itself.
-const FRESH_FOR: Duration = Duration::from_secs(3);
-/// How many crashes are told with a datagram, some 40 bytes each.
-const MOST_CRASHES_TOLD: usize = 16;
+/// How long after its last change a request is included in each state message. Longer than the time
+/// in which gossip reaches all of 295 boxes.
+const REPEAT_FOR: Duration = Duration::from_secs(3);
+/// Crashes per datagram, some 40 bytes each.
+const MAX_CRASHES_PER_UPDATE: usize = 16;
 
-/// How many verdicts a box is told that has just started, some 13 bytes each.
-const MOST_VERDICTS_TOLD: usize = 200;
+/// Verdicts that are sent to a box that has just started, some 13 bytes each.
+const MAX_VERDICTS_PER_UPDATE: usize = 200;
 
 impl Quarantine {
-    /// Takes in what another box told; returns the requests that are quarantined from now on. News from
-    /// another failure domain are passed on in the own one.
-    pub fn on_told(&mut self, news: &CrashUpdate, is_near: bool, now: Micros) -> Vec<Fingerprint> {
+    /// Merges an update from a peer; returns the requests that are quarantined from now on. Updates
+    /// from another failure domain are forwarded within this one.
+    pub fn on_peer_update(
+        &mut self,
+        update: &CrashUpdate,
+        is_local: bool,
+        now: Micros,
+    ) -> Vec<Fingerprint> {
         let mut changed = Vec::new();
-        for note in &news.served {
-            let at = now.before(Duration::from_millis(note.age_ms.into()));
-            self.reconsider(&[note.request]);
-            if self.take_served(note.request, at, now) {
-                changed.push(note.request);
+        for report in &update.served {
+            let at = now.before(Duration::from_millis(report.age_ms.into()));
+            self.schedule_evaluation(&[report.request]);
+            if self.merge_served(report.request, at, now) {
+                changed.push(report.request);
             }
         }
         let mut quarantined = Vec::new();
-        for told in &news.quarantined {
-            let at = now.before(Duration::from_millis(told.age_ms.into()));
-            if self.take_verdict(told.request, at, now) {
-                quarantined.push(told.request);
+        for verdict in &update.quarantined {
+            let at = now.before(Duration::from_millis(verdict.age_ms.into()));
+            if self.merge_verdict(verdict.request, at, now) {
+                quarantined.push(verdict.request);
             }
         }
         changed.extend(&quarantined);
-        for note in &news.crashes {
-            if self.take_crash(note.request, Crash::told(note, now), false, now) {
-                changed.push(note.request);
+        for report in &update.crashes {
+            if self.merge_crash(report.request, Crash::from_report(report, now), false, now) {
+                changed.push(report.request);
             }
         }
-        if !is_near {
+        if !is_local {
             self.unpublished.extend(&changed);
         }
-        self.reconsider(&changed);
+        self.schedule_evaluation(&changed);
         quarantined
     }
 
-    /// Takes in that another box quarantined a request; returns whether that is news. Who has started
-    /// since doesn't know who ran beside it, and could not come to the same verdict.
-    fn take_verdict(&mut self, request: Fingerprint, at: Micros, now: Micros) -> bool {
-        if now.since(at) >= CRASHES_KEPT_FOR {
+    /// Merges a quarantine verdict of another box; returns whether it is new. A box that has
+    /// started since does not know the concurrent requests, so it could not reach the same verdict
+    /// by itself.
+    fn merge_verdict(&mut self, request: Fingerprint, at: Micros, now: Micros) -> bool {
+        if now.since(at) >= CRASH_RETENTION {
             return false;
         }
         let suspect = self.suspects.entry(request).or_default();
@@ -64,83 +71,85 @@
         }
         suspect.quarantined = Some(at);
         suspect.changed = now;
-        self.forget_beyond(MOST_SUSPECTS);
+        self.evict_beyond(MAX_SUSPECTS);
         true
     }
 
-    /// Takes in that a request was served; returns whether that is news.
-    pub(super) fn take_served(&mut self, request: Fingerprint, at: Micros, now: Micros) -> bool {
+    /// Records that a request was served; returns whether that is new.
+    pub(super) fn merge_served(&mut self, request: Fingerprint, at: Micros, now: Micros) -> bool {
         let suspect = self.suspects.entry(request).or_default();
-        let is_news = suspect.on_served(at);
-        if is_news {
+        let is_new = suspect.on_served(at);
+        if is_new {
             suspect.changed = now;
-            self.forget_beyond(MOST_SUSPECTS);
+            self.evict_beyond(MAX_SUSPECTS);
         }
-        is_news
+        is_new
     }
 
-    /// Takes in what the platform keeps; returns the requests that are quarantined from now on.
-    pub fn on_kept(&mut self, kept: &[RequestAge], now: Micros) -> Vec<Fingerprint> {
-        let news = CrashUpdate {
-            quarantined: kept.to_vec(),
+    /// Merges the stored quarantine list; returns the requests that are quarantined from now on.
+    pub fn on_stored(&mut self, stored: &[RequestAge], now: Micros) -> Vec<Fingerprint> {
+        let update = CrashUpdate {
+            quarantined: stored.to_vec(),
             ..CrashUpdate::default()
         };
-        self.on_told(&news, false, now)
+        self.on_peer_update(&update, false, now)
     }
 
-    /// Whether boxes of the own failure domain are to be told something.
+    /// Returns whether there are changes that the boxes of this failure domain have not received
+    /// yet.
     #[must_use]
     pub fn has_unpublished(&self) -> bool {
         !self.unpublished.is_empty()
     }
 
-    /// What boxes of the own failure domain have not been told, as much as a datagram holds.
+    /// Takes the unpublished changes for the boxes of this failure domain, as many as a datagram
+    /// holds.
     pub fn take_unpublished(&mut self, now: Micros) -> CrashUpdate {
-        let mut news = CrashUpdate::default();
-        while size(&news) < MOST_CRASHES_TOLD
+        let mut update = CrashUpdate::default();
+        while used_capacity(&update) < MAX_CRASHES_PER_UPDATE
             && let Some(request) = self.unpublished.pop_first()
         {
             if let Some(suspect) = self.suspects.get(&request) {
-                tell(&mut news, request, suspect, now);
+                add_suspect(&mut update, request, suspect, now);
             }
         }
-        news
+        update
     }
 
-    /// What is told with the state of this box: what has changed lately, and one of those that are
-    /// quarantined.
-    pub fn news_for_state(&mut self, now: Micros) -> CrashUpdate {
-        let mut news = CrashUpdate::default();
+    /// Returns what goes out with the state of this box: recent changes, and one quarantined
+    /// request in turn.
+    pub fn update_for_state(&mut self, now: Micros) -> CrashUpdate {
+        let mut update = CrashUpdate::default();
         if self.suspects.is_empty() {
-            return news;
+            return update;
         }
         if let Some(request) = self.next_quarantined() {
-            self.last_told = Some(request);
-            tell_verdict(&mut news, request, &self.suspects[&request], now);
+            self.last_published = Some(request);
+            add_verdict(&mut update, request, &self.suspects[&request], now);
         }
-        let is_fresh = |suspect: &Suspect| now.since(suspect.changed) < FRESH_FOR;
+        let is_fresh = |suspect: &Suspect| now.since(suspect.changed) < REPEAT_FOR;
         let suspects = self.suspects.iter();
         let mut fresh: Vec<_> = suspects.filter(|(_, suspect)| is_fresh(suspect)).collect();
         fresh.sort_by_key(|(_, s)| std::cmp::Reverse((s.crashes.len(), s.changed)));
         for (request, suspect) in fresh {
-            if size(&news) >= MOST_CRASHES_TOLD {
+            if used_capacity(&update) >= MAX_CRASHES_PER_UPDATE {
                 break;
             }
-            tell(&mut news, *request, suspect, now);
+            add_suspect(&mut update, *request, suspect, now);
         }
-        news
+        update
     }
 
-    /// What is quarantined, the latest first and as much as a datagram holds, for a box that has just
-    /// started.
+    /// Returns the quarantined requests, the latest first and as many as a datagram holds, for a
+    /// box that has just started.
     #[must_use]
     pub fn verdicts(&self, now: Micros) -> CrashUpdate {
         let mut quarantined: Vec<_> = self
             .quarantined()
             .map(|(request, since)| request_age(request, since, now))
             .collect();
-        quarantined.sort_by_key(|told| told.age_ms);
-        quarantined.truncate(MOST_VERDICTS_TOLD);
+        quarantined.sort_by_key(|verdict| verdict.age_ms);
+        quarantined.truncate(MAX_VERDICTS_PER_UPDATE);
         CrashUpdate {
             quarantined,
             ..CrashUpdate::default()
@@ -152,25 +161,29 @@
         let mut all = self.suspects.keys().copied();
         let next = all
             .clone()
-            .find(|r| Some(*r) > self.last_told && is_quarantined(r));
+            .find(|r| Some(*r) > self.last_published && is_quarantined(r));
         next.or_else(|| all.find(is_quarantined))
     }
 }
 
-fn tell(news: &mut CrashUpdate, request: Fingerprint, suspect: &Suspect, now: Micros) {
+fn add_suspect(update: &mut CrashUpdate, request: Fingerprint, suspect: &Suspect, now: Micros) {
     let age = |at| request_age(request, at, now);
     let crashes = suspect.crashes.iter();
-    let notes = crashes.map(|crash| -> CrashReport { crash.note(request, now) });
-    news.crashes.extend(notes);
-    news.served.extend(suspect.served.map(age));
-    tell_verdict(news, request, suspect, now);
+    let reports = crashes.map(|crash| -> CrashReport { crash.to_report(request, now) });
+    update.crashes.extend(reports);
+    update.served.extend(suspect.served.map(age));
+    add_verdict(update, request, suspect, now);
 }
 
-fn tell_verdict(news: &mut CrashUpdate, request: Fingerprint, suspect: &Suspect, now: Micros) {
-    let is_told = news.quarantined.iter().any(|told| told.request == request);
-    if !is_told {
+fn add_verdict(update: &mut CrashUpdate, request: Fingerprint, suspect: &Suspect, now: Micros) {
+    let is_included = update
+        .quarantined
+        .iter()
+        .any(|verdict| verdict.request == request);
+    if !is_included {
         let since = suspect.quarantined;
-        news.quarantined
+        update
+            .quarantined
             .extend(since.map(|at| request_age(request, at, now)));
     }
 }
@@ -180,9 +193,9 @@
     RequestAge { request, age_ms }
 }
 
-/// How much of a datagram is taken.
-fn size(news: &CrashUpdate) -> usize {
-    // The others are half as long.
-    let short = news.served.len() + news.quarantined.len();
-    news.crashes.len() + short / 2
+/// Returns how much of [`MAX_CRASHES_PER_UPDATE`] an update uses.
+fn used_capacity(update: &CrashUpdate) -> usize {
+    // Served requests and verdicts take half as many bytes as a crash.
+    let short = update.served.len() + update.quarantined.len();
+    update.crashes.len() + short / 2
 }
--- a/src/gateway/shell/quarantine.rs
+++ b/src/gateway/shell/quarantine.rs
@@ -16,7 +16,7 @@
 use crate::backoff::Backoff;
 use crate::clock::wall_millis;
 use crate::gateway::dispatch::event::Event;
-use crate::gateway::dispatch::quarantine::CRASHES_KEPT_FOR;
+use crate::gateway::dispatch::quarantine::CRASH_RETENTION;
 use crate::gateway::dispatch::record::Record;
 use crate::gateway::shell::GatewayShared;
 use crate::gateway::shell::dialect::{Entry, ObjectKind, UnixMillis};
@@ -59,7 +59,7 @@
             }
         };
         let age = Duration::from_millis(now.saturating_sub(since.0));
-        if age < CRASHES_KEPT_FOR {
+        if age < CRASH_RETENTION {
             let age_ms = age.as_millis() as u32;
             kept.push(RequestAge { request, age_ms });
         } else {
--- a/tests/quarantine.rs
+++ b/tests/quarantine.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use magpiemoor::gateway::dispatch::quarantine::{
-    CRASHES_KEPT_FOR, Crash, DECIDED_AFTER, Quarantine,
+    CRASH_RETENTION, Crash, EVALUATION_DELAY, Quarantine,
 };
 use magpiemoor::schema::{CrashUpdate, Fingerprint, Micros};
 use rstest::rstest;
@@ -18,9 +18,9 @@
 
 /// Notes a crash, and decides about it; returns whether the request is quarantined by it.
 fn note(quarantine: &mut Quarantine, request: Fingerprint, crash: &Crash) -> bool {
-    let decided = crash.at.after(DECIDED_AFTER);
+    let decided = crash.at.after(EVALUATION_DELAY);
     quarantine.on_crash(request, crash.clone(), crash.at);
-    quarantine.decide(decided).contains(&request)
+    quarantine.evaluate(decided).contains(&request)
 }
 
 /// The end of the engine of a number, with nothing beside.
@@ -47,7 +47,7 @@
             };
             quarantine.on_crash(*request, crash, at(engine));
         }
-        quarantine.decide(at(engine).after(DECIDED_AFTER));
+        quarantine.evaluate(at(engine).after(EVALUATION_DELAY));
     }
 }
 
@@ -120,13 +120,13 @@
         note(&mut quarantine, INNOCENT, &crash(engine, at(engine)));
     }
     quarantine.on_crash(INNOCENT, crash(3, at(3)), at(3));
-    assert!(quarantine.decide(at(3)).is_empty());
+    assert!(quarantine.evaluate(at(3)).is_empty());
     let mut elsewhere = Quarantine::default();
     crash_together(&mut elsewhere, &[GUILTY], 3);
-    let news = elsewhere.news_for_state(at(3));
+    let news = elsewhere.update_for_state(at(3));
     let soon = at(3).after(Duration::from_millis(60));
-    quarantine.on_told(&news, false, soon);
-    assert!(quarantine.decide(at(4)).is_empty());
+    quarantine.on_peer_update(&news, false, soon);
+    assert!(quarantine.evaluate(at(4)).is_empty());
     assert!(!quarantine.is_quarantined(INNOCENT));
 }
 
@@ -199,9 +199,9 @@
 fn a_request_is_forgotten_after_its_time() {
     let mut quarantine = Quarantine::default();
     crash_together(&mut quarantine, &[GUILTY], 3);
-    let before = at(2).after(CRASHES_KEPT_FOR);
+    let before = at(2).after(CRASH_RETENTION);
     assert!(quarantine.forget_old(before).is_empty());
-    let after = at(4).after(CRASHES_KEPT_FOR);
+    let after = at(4).after(CRASH_RETENTION);
     assert_eq!(quarantine.forget_old(after), [(GUILTY, true)]);
     assert!(!quarantine.is_quarantined(GUILTY));
 }
@@ -215,7 +215,11 @@
         quarantine.on_crash(request, crash(number, at(10)), at(10));
     }
     assert!(quarantine.is_quarantined(GUILTY));
-    assert!(quarantine.known() <= 2_000, "{}", quarantine.known());
+    assert!(
+        quarantine.suspect_count() <= 2_000,
+        "{}",
+        quarantine.suspect_count()
+    );
 }
 
 fn all_news(quarantine: &mut Quarantine, now: Micros) -> CrashUpdate {
@@ -234,11 +238,11 @@
     let (mut one, mut other) = (Quarantine::default(), Quarantine::default());
     one.on_crash(GUILTY, crash(1, at(1)), at(1));
     other.on_crash(GUILTY, crash(2, at(2)), at(2));
-    one.on_told(&all_news(&mut other, at(2)), true, at(2));
+    one.on_peer_update(&all_news(&mut other, at(2)), true, at(2));
     assert!(note(&mut one, GUILTY, &crash(3, at(3))));
-    let told = other.on_told(&all_news(&mut one, at(3)), true, at(3));
+    let told = other.on_peer_update(&all_news(&mut one, at(3)), true, at(3));
     assert_eq!(told, [GUILTY]);
-    assert!(one.is_noted_here(GUILTY) && !other.is_noted_here(GUILTY));
+    assert!(one.is_recorded_here(GUILTY) && !other.is_recorded_here(GUILTY));
 }
 
 /// A box that has started knows nobody who ran beside, and could not come to the verdict itself.
@@ -251,13 +255,13 @@
     let news = known.verdicts(at(5));
     let mut started = Quarantine::default();
     let told = if by_platform {
-        started.on_kept(&news.quarantined, at(5))
+        started.on_stored(&news.quarantined, at(5))
     } else {
-        started.on_told(&news, true, at(5))
+        started.on_peer_update(&news, true, at(5))
     };
     assert_eq!(told, [GUILTY]);
     assert!(started.is_quarantined(GUILTY));
-    let later = at(10).after(CRASHES_KEPT_FOR);
+    let later = at(10).after(CRASH_RETENTION);
     assert_eq!(
         started.forget_old(later),
         [(GUILTY, false)],
@@ -271,9 +275,13 @@
     crash_together(&mut one, &[GUILTY], 3);
     other.on_crash(GUILTY, crash(9, at(1)), at(1));
     other.on_served(GUILTY, at(8));
-    assert!(other.on_told(&one.verdicts(at(9)), true, at(9)).is_empty());
+    assert!(
+        other
+            .on_peer_update(&one.verdicts(at(9)), true, at(9))
+            .is_empty()
+    );
     let released = all_news(&mut other, at(9));
-    one.on_told(&released, true, at(9));
+    one.on_peer_update(&released, true, at(9));
     assert!(!one.is_quarantined(GUILTY));
 }
 
@@ -285,15 +293,15 @@
     one.on_served(INNOCENT, at(2));
     for round in 0..50 {
         let now = at(2).after(Duration::from_millis(10 * round));
-        let news = one.news_for_state(now);
-        other.on_told(&news, false, now.after(Duration::from_millis(2)));
-        let news = other.news_for_state(now);
-        one.on_told(&news, false, now.after(Duration::from_millis(4)));
+        let news = one.update_for_state(now);
+        other.on_peer_update(&news, false, now.after(Duration::from_millis(2)));
+        let news = other.update_for_state(now);
+        one.on_peer_update(&news, false, now.after(Duration::from_millis(4)));
     }
     all_news(&mut other, at(3));
     let late = at(20);
-    assert_eq!(one.news_for_state(late), CrashUpdate::default());
-    assert_eq!(other.news_for_state(late), CrashUpdate::default());
+    assert_eq!(one.update_for_state(late), CrashUpdate::default());
+    assert_eq!(other.update_for_state(late), CrashUpdate::default());
 }
 
 #[test]
@@ -302,7 +310,7 @@
     for number in 0..500 {
         quarantine.on_crash(Fingerprint(number), crash(number, at(1)), at(1));
     }
-    let news = quarantine.news_for_state(at(1));
+    let news = quarantine.update_for_state(at(1));
     assert!(news.crashes.len() <= 24, "{}", news.crashes.len());
     let unpublished = quarantine.take_unpublished(at(1));
     assert!(unpublished.crashes.len() <= 24 && quarantine.has_unpublished());
