--- a/src/gateway/dispatch.rs
+++ b/src/gateway/dispatch.rs
@@ -355,7 +355,7 @@
                 instance,
                 born,
             } => self.on_identified(&endpoint, &instance, born),
-            Event::Identified(spec) => self.fleet.succeed(spec, self.now),
+            Event::Identified(spec) => self.fleet.on_identified(spec, self.now),
             Event::Located { request, endpoint } => self.on_located(request, endpoint),
             Event::SnapshotTaken {
                 request,
--- a/src/gateway/dispatch/attempts.rs
+++ b/src/gateway/dispatch/attempts.rs
@@ -142,7 +142,7 @@
         let backup = mirror.as_ref().map(|host| host.id.to_string());
         let sent = self.sent_record(request, &attempt, &spec, backup, usage);
         self.record(sent);
-        self.fleet.on_sending(&spec, now);
+        self.fleet.on_attempt(&spec, now);
         self.use_permit(to);
         if let Some(rollout) = self.rollouts.of_mut(&spec.service) {
             rollout.on_attempt(&spec.version, now);
--- a/src/gateway/dispatch/fleet.rs
+++ b/src/gateway/dispatch/fleet.rs
@@ -1,11 +1,13 @@
-//! What a box believes of the endpoints.
+//! The state of the endpoints as this box knows or assumes it.
 //!
-//! The list, from the store or a peer, says who is there and who is leaving (`list`); a process that
-//! starts again begins another life, and what was believed of the one before falls
-//! (`incarnations`). What it says that it takes is in [`limits`]. What runs at an endpoint is in [`usage`]; who is avoided, suspected or
-//! unreachable is in `losses`.
+//! The list, from the store or from a peer, names the endpoints and those that are leaving
+//! (`list`). A process that restarts begins another incarnation of its endpoint, and the state of
+//! the earlier one is dropped (`incarnations`). Limits that endpoints name are in [`limits`], their
+//! load is in [`usage`] and their recent failures are in [`health`]. Endpoints that are avoided,
+//! suspected or unreachable are in `losses`.
 //!
-//! Owns: all beliefs of endpoints; one is forgotten once it is neither listed nor in use.
+//! Inputs: the list, ends of attempts and probes, and states of peers. State: all of the above; an
+//! endpoint is forgotten once it is neither listed nor in use.
 
 pub mod health;
 mod incarnations;
@@ -20,44 +22,46 @@
 use crate::schema::{
     BoxState, DomainId, EndpointAnswers, EndpointId, EndpointIncarnation, Micros, ServiceId,
 };
-use health::{Answers, EndpointHealth, Failing};
+use health::{Answers, EndpointHealth, FailureShares};
 use limits::Limits;
 use losses::Losses;
-use usage::{PeerUsage, ToldUsage};
+use usage::{PeerUsage, ReportedUsage};
 
 pub use usage::Usage;
 
-/// One endpoint.
+/// The state of one endpoint.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
-    /// What the list says.
+    /// The entry in the list, with the start time that the endpoint itself reported if newer.
     pub spec: EndpointSpec,
-    /// Whether it is listed.
+    /// Whether the list names it; an endpoint that isn't listed is kept while it is in use.
     pub listed: bool,
-    /// Whether its entry can be read.
+    /// Whether its entry can be parsed.
     is_readable: bool,
-    /// Whether the entry of another endpoint with its address changed later.
+    /// Whether another endpoint's entry with the same address changed later.
     is_displaced: bool,
-    /// What this box runs there.
+    /// Load that this box causes there.
     pub own: Usage,
-    /// What other boxes said that they run there.
+    /// Load that other boxes reported.
     others: Vec<PeerUsage>,
-    /// When this box last heard of it, by an attempt or a probe.
-    pub heard: Micros,
-    /// When a probe was sent that is not answered yet.
+    /// When an attempt or a probe last got a message from it.
+    pub last_seen: Micros,
+    /// When the probe that is unanswered was sent.
     pub probe_sent: Option<Micros>,
-    /// When it was last probed.
+    /// When the last probe was sent, answered or not.
     pub last_probe: Micros,
-    /// How well it has answered lately.
+    /// Recent failures, as counted by all boxes of the failure domain.
     pub health: EndpointHealth,
-    /// When this box first knew of this life.
+    /// When this box first knew of this incarnation.
     first_seen: Micros,
-    /// Which of the lives that this box came to know it is.
-    number: u64,
-    /// Since when a failure leaves open whether this life goes on.
-    unsure_since: Option<Micros>,
-    identity_asked: Micros,
+    /// Counts the incarnations of all endpoints in the order in which this box learnt of them.
+    incarnation_number: u64,
+    /// Since when a failure leaves open whether the process has restarted.
+    maybe_restarted_since: Option<Micros>,
+    /// When its identity was last requested.
+    identity_requested: Micros,
     avoided_until: Micros,
+    /// Failures in a row.
     failures: u32,
 }
 
@@ -70,45 +74,45 @@
             is_displaced: false,
             own: Usage::default(),
             others: Vec::new(),
-            heard: Micros::ZERO,
+            last_seen: Micros::ZERO,
             probe_sent: None,
             last_probe: Micros::ZERO,
             health: EndpointHealth::default(),
             first_seen: now,
-            number: 0,
-            unsure_since: None,
-            identity_asked: Micros::ZERO,
+            incarnation_number: 0,
+            maybe_restarted_since: None,
+            identity_requested: Micros::ZERO,
             avoided_until: Micros::ZERO,
             failures: 0,
         }
     }
 
-    /// Whether new work may go there.
+    /// Whether new requests may be sent there.
     #[must_use]
     pub fn takes_work(&self) -> bool {
         self.listed && self.is_readable && !self.is_displaced && !self.spec.leaving
     }
 
-    /// When it was last asked who it is.
+    /// When its identity was last requested.
     #[must_use]
-    pub fn identity_asked(&self) -> Micros {
-        self.identity_asked
+    pub fn identity_requested(&self) -> Micros {
+        self.identity_requested
     }
 
-    /// Whether an account of a life can be of the present one.
+    /// Whether a report about an incarnation can be about the current one.
     #[must_use]
-    pub fn is_incarnation(&self, life: &EndpointIncarnation) -> bool {
-        self.spec.incarnation().may_be(life)
+    pub fn is_incarnation(&self, incarnation: &EndpointIncarnation) -> bool {
+        self.spec.incarnation().may_be(incarnation)
     }
 
-    /// Whether it failed a short while ago.
+    /// Whether it failed recently, so that placement selects it only where nothing else is left.
     #[must_use]
     pub fn is_avoided(&self, now: Micros) -> bool {
         now < self.avoided_until
     }
 }
 
-/// How an attempt ended, as far as its endpoint is judged by it.
+/// How an attempt ended, as counted in the health of its endpoint.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum AnswerKind {
     Served,
@@ -117,34 +121,34 @@
 }
 
 impl From<&EndpointAnswers> for Answers {
-    fn from(told: &EndpointAnswers) -> Self {
+    fn from(reported: &EndpointAnswers) -> Self {
         Self {
-            served: told.served.into(),
-            errors: told.errors.into(),
-            broken: told.broken.into(),
+            served: reported.served.into(),
+            errors: reported.errors.into(),
+            broken: reported.broken.into(),
         }
     }
 }
 
-/// All endpoints.
+/// The endpoints that this box knows.
 #[derive(Debug, Default)]
 pub struct Fleet {
     endpoints: BTreeMap<EndpointId, Endpoint>,
     losses: Losses,
-    /// What endpoints say that they take.
+    /// The rate limits that endpoints name, and this box's permits.
     pub limits: Limits,
-    /// Endpoints that the list dropped or showed as leaving, and when.
+    /// Endpoints that the list dropped or showed as leaving or unreadable, and when.
     departed: BTreeMap<EndpointId, Micros>,
-    /// How attempts of this box ended that peers have not been told of.
+    /// Outcomes of attempts of this box that were not published to peers yet.
     unpublished: BTreeMap<EndpointId, EndpointAnswers>,
-    /// What other failure domains run at plain services.
-    domain_usage: BTreeMap<DomainId, ToldUsage>,
-    /// The services of the configuration, once there is one.
+    /// Load of the boxes of other failure domains at plain services.
+    domain_usage: BTreeMap<DomainId, ReportedUsage>,
+    /// The services that the configuration names, or `None` before the first configuration.
     services: Option<BTreeSet<ServiceId>>,
-    /// Lives that this box came to know.
-    lives: u64,
-    /// Lives that have ended and of which nobody was told.
-    ended: Vec<EndpointIncarnation>,
+    /// How many incarnations of endpoints this box has learnt of.
+    incarnation_count: u64,
+    /// Incarnations that ended since [`Fleet::take_ended_incarnations`] was last called.
+    ended_incarnations: Vec<EndpointIncarnation>,
     is_known: bool,
 }
 
@@ -155,32 +159,35 @@
         self.is_known
     }
 
-    /// Finds an endpoint.
+    /// The endpoint with an id.
     #[must_use]
     pub fn get(&self, id: &EndpointId) -> Option<&Endpoint> {
         self.endpoints.get(id)
     }
 
-    /// Finds an endpoint to change it.
+    /// The endpoint with an id, mutable.
     pub fn get_mut(&mut self, id: &EndpointId) -> Option<&mut Endpoint> {
         self.endpoints.get_mut(id)
     }
 
-    /// Finds an endpoint if a life of it goes on.
+    /// The endpoint of an incarnation, if that is the current one.
     #[must_use]
-    pub fn get_incarnation(&self, life: &EndpointIncarnation) -> Option<&Endpoint> {
+    pub fn get_incarnation(&self, incarnation: &EndpointIncarnation) -> Option<&Endpoint> {
         self.endpoints
-            .get(&life.id)
-            .filter(|e| e.is_incarnation(life))
+            .get(&incarnation.id)
+            .filter(|e| e.is_incarnation(incarnation))
     }
 
-    /// Finds an endpoint to change it, if a life of it goes on.
-    pub fn get_incarnation_mut(&mut self, life: &EndpointIncarnation) -> Option<&mut Endpoint> {
-        let found = self.endpoints.get_mut(&life.id);
-        found.filter(|e| e.is_incarnation(life))
+    /// The endpoint of an incarnation, mutable, if that is the current one.
+    pub fn get_incarnation_mut(
+        &mut self,
+        incarnation: &EndpointIncarnation,
+    ) -> Option<&mut Endpoint> {
+        let found = self.endpoints.get_mut(&incarnation.id);
+        found.filter(|e| e.is_incarnation(incarnation))
     }
 
-    /// Iterates over the endpoints of a service.
+    /// Iterates over the endpoints of a service in the order of their ids.
     pub fn of_service<'a, 'b>(
         &'a self,
         service: &'b ServiceId,
@@ -190,25 +197,25 @@
             .filter(move |e| e.spec.service == *service)
     }
 
-    /// Iterates over all endpoints.
+    /// Iterates over all endpoints in the order of their ids.
     pub fn iter(&self) -> impl Iterator<Item = &Endpoint> {
         self.endpoints.values()
     }
 
-    /// Notes an answer of an endpoint.
+    /// Handles a successful answer, which ends the avoidance of the endpoint.
     pub fn on_success(&mut self, id: &EndpointId, now: Micros) {
         self.on_reached(id);
         let Some(endpoint) = self.endpoints.get_mut(id) else {
             return;
         };
-        endpoint.heard = now;
+        endpoint.last_seen = now;
         endpoint.failures = 0;
         endpoint.avoided_until = Micros::ZERO;
-        self.note_answer(id, AnswerKind::Served, now);
+        self.record_outcome(id, AnswerKind::Served, now);
     }
 
-    /// Counts how an attempt of this box ended.
-    fn note_answer(&mut self, id: &EndpointId, kind: AnswerKind, now: Micros) {
+    /// Counts the outcome of an attempt of this box, for the health here and at peers.
+    fn record_outcome(&mut self, id: &EndpointId, kind: AnswerKind, now: Micros) {
         let count = |of| u32::from(of == kind);
         let Some(endpoint) = self.endpoints.get_mut(id) else {
             return;
@@ -232,39 +239,41 @@
         }
     }
 
-    /// How attempts of this box ended since this was asked last, to be told.
+    /// Returns the outcomes of this box's attempts to publish, and clears them.
     pub fn take_unpublished(&mut self) -> Vec<EndpointAnswers> {
         std::mem::take(&mut self.unpublished)
             .into_values()
             .collect()
     }
 
-    /// Takes in how attempts of a peer ended.
+    /// Adds the outcomes of a peer's attempts to the health of their endpoints.
     pub fn on_peer_answers(&mut self, answers: &[EndpointAnswers], now: Micros) {
-        for told in answers {
-            if let Some(endpoint) = self.get_incarnation_mut(&told.endpoint) {
-                endpoint.health.add(told.into(), now);
+        for reported in answers {
+            if let Some(endpoint) = self.get_incarnation_mut(&reported.endpoint) {
+                endpoint.health.add(reported.into(), now);
             }
         }
     }
 
-    /// The least shares of attempts that fail at an endpoint of a service.
+    /// The lowest failure shares among the endpoints of a service, each share by itself.
     #[must_use]
-    pub fn least_failing(&self, service: &ServiceId, now: Micros) -> Failing {
-        let shares = self.of_service(service).map(|e| e.health.failing(now));
-        shares.fold(Failing::ALL, Failing::min)
+    pub fn lowest_failure_shares(&self, service: &ServiceId, now: Micros) -> FailureShares {
+        let shares = self
+            .of_service(service)
+            .map(|e| e.health.failure_shares(now));
+        shares.fold(FailureShares::ALL, FailureShares::min)
     }
 
-    /// Notes an answer that was no success, though the endpoint is there.
+    /// Handles an error answer: the endpoint is reachable but the attempt failed.
     pub fn on_error_answer(&mut self, id: &EndpointId, now: Micros) {
         self.on_reached(id);
         if let Some(endpoint) = self.endpoints.get_mut(id) {
-            endpoint.heard = now;
+            endpoint.last_seen = now;
         }
-        self.note_answer(id, AnswerKind::Error, now);
+        self.record_outcome(id, AnswerKind::Error, now);
     }
 
-    /// Takes in a peer's losses, what it runs, and what other failure domains run.
+    /// Applies a peer's losses, its load, and the load of other failure domains that it reports.
     pub fn on_peer(&mut self, state: &BoxState, own: &DomainId, now: Micros) {
         self.on_peer_losses(&state.lost, now);
         self.on_peer_state(&state.from, &state.usage, now);
--- a/src/gateway/dispatch/fleet/incarnations.rs
+++ b/src/gateway/dispatch/fleet/incarnations.rs
@@ -1,22 +1,22 @@
-//! Which life of an endpoint is in force, and what falls with the one before.
+//! Which incarnation of an endpoint is the current one, and what is dropped with an earlier one.
 //!
-//! A process that starts again under the id that it had holds and knows nothing of before. Its birth
-//! tells the two lives apart, and comes from its entry in the list or from its own answers,
-//! whichever is first. Then all that was believed of the endpoint falls at once: what runs and lies
-//! there, how it answered, that it was lost, avoided or suspected. Accounts of peers name the life
-//! that they are about; those of another one are dropped.
+//! A process that restarts under the same id keeps nothing of what it held. Its start time tells the
+//! incarnations apart. It comes from the endpoint's entry in the list or from its own answers,
+//! whichever is first. A new incarnation resets all state of the endpoint at once: its load,
+//! replicas and health, and that it was lost, avoided or suspected. Reports of peers name the
+//! incarnation that they are about; those about another one are ignored.
 //!
-//! | told by | counts if |
+//! | source of a start time | counts if |
 //! |---|---|
-//! | an entry of the list | its revision is greater than that of the entry that is known |
-//! | an answer of the endpoint | it was asked after this box knew of the present life |
-//! | a peer | never: what peers tell may be as old as their list |
+//! | an entry of the list | its revision is greater than that of the known entry |
+//! | an answer of the endpoint | it was requested after this box learnt of the current incarnation |
+//! | a peer | never: what a peer reports may be as old as its list |
 //!
-//! Births are compared for equality only, since a clock that was set back gives a later life a lesser
-//! birth. An endpoint that tells no birth goes by its id alone.
+//! Start times are compared for equality only: after a clock was set back, a later incarnation has
+//! an earlier start time. An endpoint that reports no start time is identified by its id alone.
 //!
-//! An endpoint that failed may be in its next life already, and its entry shows that only once the
-//! store was read. One that tells births and holds replicas for this box is asked for its own after
+//! An endpoint that failed may have restarted already, which its entry shows only once the store was
+//! read. If it reports start times and holds replicas for this box, its identity is requested after
 //! [`super::losses::IDENTIFY_AFTER`].
 
 use super::{Endpoint, Fleet};
@@ -24,15 +24,15 @@
 use crate::schema::{EndpointId, EndpointIncarnation, Micros, StartTime};
 
 impl Fleet {
-    /// Begins another life of an endpoint: nothing that was believed of the one before is left.
+    /// Begins another incarnation of an endpoint and drops all state of the earlier one.
     pub(super) fn begin_incarnation(&mut self, spec: EndpointSpec, now: Micros) {
         let Some(endpoint) = self.endpoints.get_mut(&spec.id) else {
             return;
         };
         let ended = endpoint.spec.incarnation();
-        self.lives += 1;
+        self.incarnation_count += 1;
         *endpoint = Endpoint {
-            number: self.lives,
+            incarnation_number: self.incarnation_count,
             listed: endpoint.listed,
             is_readable: endpoint.is_readable,
             is_displaced: endpoint.is_displaced,
@@ -41,18 +41,24 @@
         self.losses.forget(&ended.id);
         self.limits.keep_incarnation(&endpoint.spec.incarnation());
         self.unpublished.remove(&ended.id);
-        self.ended.push(ended);
+        self.ended_incarnations.push(ended);
     }
 
-    /// Takes in the birth that an endpoint told when it was asked.
-    pub fn on_start_time(&mut self, id: &EndpointId, born: StartTime, asked: Micros, now: Micros) {
+    /// Applies the start time that an endpoint reported in answer to a request sent at `requested`.
+    pub fn on_start_time(
+        &mut self,
+        id: &EndpointId,
+        born: StartTime,
+        requested: Micros,
+        now: Micros,
+    ) {
         let Some(endpoint) = self.endpoints.get_mut(id) else {
             return;
         };
-        let is_late = asked < endpoint.first_seen;
+        let is_late = requested < endpoint.first_seen;
         match endpoint.spec.born {
             None => endpoint.spec.born = Some(born),
-            Some(known) if known == born => endpoint.unsure_since = None,
+            Some(known) if known == born => endpoint.maybe_restarted_since = None,
             Some(_) if is_late => {}
             Some(_) => {
                 let spec = EndpointSpec {
@@ -64,17 +70,17 @@
         }
     }
 
-    /// The lives that have ended since this was asked last.
+    /// Returns the incarnations that ended since the last call.
     pub fn take_ended_incarnations(&mut self) -> Vec<EndpointIncarnation> {
-        std::mem::take(&mut self.ended)
+        std::mem::take(&mut self.ended_incarnations)
     }
 }
 
 impl Endpoint {
-    /// Notes a failure after which the endpoint may be in another life.
-    pub(super) fn note_unsure(&mut self, now: Micros) {
+    /// Records a failure after which the process may have restarted, if it reports start times.
+    pub(super) fn mark_maybe_restarted(&mut self, now: Micros) {
         if self.spec.born.is_some() {
-            self.unsure_since.get_or_insert(now);
+            self.maybe_restarted_since.get_or_insert(now);
         }
     }
 }
--- a/src/gateway/dispatch/fleet/list.rs
+++ b/src/gateway/dispatch/fleet/list.rs
@@ -1,16 +1,16 @@
-//! How the list of endpoints is taken in, whole or by its changes.
+//! How the list of endpoints is applied, as a whole or by its changes.
 //!
-//! Entries come from the store or from peers, and may come late: one whose revision lies under that
-//! of the entry that is known changes nothing. An endpoint that the list dropped stays gone for
-//! [`DEPARTED_FOR`], whatever it says itself. An entry that can't be read names no endpoint to use:
-//! an endpoint that was known takes no new work until its entry can be read again, and what runs
-//! there goes on. Of entries with one address the one that changed last tells who listens there;
-//! an entry of a service that the configuration doesn't name takes no address from another, since
-//! other writers make entries too.
+//! Entries come from the store or from peers and may arrive late: an entry with a lower revision
+//! than the known entry changes nothing. An endpoint that the list dropped stays removed for
+//! [`DEPARTED_FOR`], whatever it reports itself. An entry that can't be parsed adds no endpoint. An
+//! endpoint that was known takes no new work until its entry can be parsed again; its running
+//! requests go on. Of several entries with one address, the one that changed last names the endpoint
+//! that listens there. An entry of a service that the configuration doesn't name takes no address
+//! from another entry, since other writers make entries too.
 //!
-//! Inputs: entries as they were read, the services of the configuration. Weighed for entries with
-//! one address: the one that came last (a list that names both again brings the dead one back), the
-//! later birth (not all endpoints tell theirs, and clocks are set back), the revision.
+//! Inputs: parsed entries, and the services of the configuration. Alternatives for entries with one
+//! address: the entry that arrived last (a list that names both again restores the dead endpoint),
+//! and the later start time (not all endpoints report theirs, and clocks are set back).
 
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -20,25 +20,25 @@
 use crate::gateway::dispatch::event::{EndpointChange, EndpointSpec};
 use crate::schema::{EndpointId, Micros, ServiceId};
 
-/// How long an endpoint that the list dropped is remembered as gone: without that, one that was
-/// leaving came back by its own word (docs/FINDINGS.md).
+/// How long the removal of an endpoint from the list is remembered: without it an endpoint that was
+/// leaving was added again by its own identity answer (docs/FINDINGS.md).
 const DEPARTED_FOR: Duration = Duration::from_secs(60);
 
-/// Which of the entries with one address changed last: by the store's revision, then by the order in
-/// which this box came to know of the lives.
+/// The order of entries with one address: by the store's revision, then by the order in which this
+/// box learnt of the incarnations. The greater one changed later.
 type EntryAge = (u64, u64);
 
 fn entry_age(endpoint: &Endpoint) -> EntryAge {
-    (endpoint.spec.revision, endpoint.number)
+    (endpoint.spec.revision, endpoint.incarnation_number)
 }
 
-/// Whether two revisions are those of one entry that has not changed between.
+/// Whether an entry has not changed between two revisions that are known (not 0).
 fn is_same_entry(a: u64, b: u64) -> bool {
     a != 0 && a == b
 }
 
 impl Fleet {
-    /// Takes in a whole list, with the endpoints whose entries can't be read; returns the ids that
+    /// Applies a whole list, with the endpoints whose entries can't be parsed; returns the ids that
     /// are no longer listed.
     pub fn replace(
         &mut self,
@@ -50,52 +50,52 @@
         let readable = specs.iter().map(|spec| &spec.id);
         let named: BTreeSet<EndpointId> = readable.chain(unreadable).cloned().collect();
         for spec in specs {
-            self.present(spec, now);
+            self.add_or_update(spec, now);
         }
         for id in unreadable {
-            self.unreadable(id, now);
+            self.mark_unreadable(id, now);
         }
         let dropped = self.endpoints.values();
         let dropped = dropped.filter(|e| e.listed && !named.contains(&e.spec.id));
-        let gone: Vec<EndpointId> = dropped.map(|e| e.spec.id.clone()).collect();
-        for id in &gone {
-            self.depart(id, now);
+        let removed: Vec<EndpointId> = dropped.map(|e| e.spec.id.clone()).collect();
+        for id in &removed {
+            self.remove(id, now);
         }
-        self.settle_addresses();
-        gone
+        self.resolve_shared_addresses();
+        removed
     }
 
-    /// Takes in one change of the list.
-    pub fn change(&mut self, change: EndpointChange, now: Micros) {
-        self.change_all(vec![change], now);
+    /// Applies one change of the list.
+    pub fn apply_change(&mut self, change: EndpointChange, now: Micros) {
+        self.apply_changes(vec![change], now);
     }
 
-    /// Takes in changes of the list.
-    pub fn change_all(&mut self, changes: Vec<EndpointChange>, now: Micros) {
+    /// Applies changes of the list.
+    pub fn apply_changes(&mut self, changes: Vec<EndpointChange>, now: Micros) {
         for change in changes {
             match change {
-                EndpointChange::Present(spec) => self.present(spec, now),
-                EndpointChange::Absent(id) => self.depart(&id, now),
-                EndpointChange::Unreadable(id) => self.unreadable(&id, now),
+                EndpointChange::Present(spec) => self.add_or_update(spec, now),
+                EndpointChange::Absent(id) => self.remove(&id, now),
+                EndpointChange::Unreadable(id) => self.mark_unreadable(&id, now),
             }
         }
-        self.settle_addresses();
+        self.resolve_shared_addresses();
     }
 
-    /// Takes in which services the configuration names.
+    /// Sets the services that the configuration names.
     pub fn set_services<'a>(&mut self, services: impl Iterator<Item = &'a ServiceId>) {
         self.services = Some(services.cloned().collect());
-        self.settle_addresses();
+        self.resolve_shared_addresses();
     }
 
-    /// Takes an endpoint off the list, and remembers that for a while.
-    fn depart(&mut self, id: &EndpointId, now: Micros) {
+    /// Removes an endpoint from the list and remembers that for [`DEPARTED_FOR`].
+    fn remove(&mut self, id: &EndpointId, now: Micros) {
         self.departed.retain(|_, at| now.since(*at) < DEPARTED_FOR);
         self.departed.insert(id.clone(), now);
-        self.absent(id);
+        self.unlist(id);
     }
 
-    fn present(&mut self, spec: EndpointSpec, now: Micros) {
+    fn add_or_update(&mut self, spec: EndpointSpec, now: Micros) {
         let known = self.endpoints.get(&spec.id);
         if known.is_some_and(|known| known.spec.revision > spec.revision) {
             return;
@@ -106,10 +106,10 @@
             self.departed.remove(&spec.id);
         }
         let Some(known) = self.endpoints.get_mut(&spec.id) else {
-            self.lives += 1;
+            self.incarnation_count += 1;
             let id = spec.id.clone();
             let endpoint = Endpoint {
-                number: self.lives,
+                incarnation_number: self.incarnation_count,
                 ..Endpoint::new(spec, now)
             };
             self.endpoints.insert(id, endpoint);
@@ -118,60 +118,61 @@
         known.listed = true;
         known.is_readable = true;
         let before = known.spec.born;
-        // What the endpoint itself said since its entry changed is newer than the entry.
-        let told = spec
+        // A start time that the endpoint reported since its entry changed is newer than the entry.
+        let listed_start = spec
             .born
             .filter(|_| !is_same_entry(spec.revision, known.spec.revision));
         if before
-            .zip(told)
-            .is_some_and(|(before, told)| before != told)
+            .zip(listed_start)
+            .is_some_and(|(before, listed)| before != listed)
         {
             self.begin_incarnation(spec, now);
         } else {
             known.spec = EndpointSpec {
-                born: told.or(before).or(spec.born),
+                born: listed_start.or(before).or(spec.born),
                 ..spec
             };
         }
     }
 
-    fn unreadable(&mut self, id: &EndpointId, now: Micros) {
+    fn mark_unreadable(&mut self, id: &EndpointId, now: Micros) {
         self.departed.insert(id.clone(), now);
         if let Some(endpoint) = self.endpoints.get_mut(id) {
             endpoint.is_readable = false;
         }
     }
 
-    fn absent(&mut self, id: &EndpointId) {
+    fn unlist(&mut self, id: &EndpointId) {
         if let Some(endpoint) = self.endpoints.get_mut(id) {
             endpoint.listed = false;
         }
         self.forget_unused();
     }
 
-    /// Forgets endpoints that are neither listed nor in use.
+    /// Forgets endpoints that are neither listed nor used by this box.
     pub fn forget_unused(&mut self) {
         self.endpoints
             .retain(|_, e| e.listed || e.own != Usage::default());
         self.limits.retain(|id| self.endpoints.contains_key(id));
     }
 
-    /// Notes that another instance has an endpoint's address: the endpoint is gone for good.
-    pub fn replaced(&mut self, id: &EndpointId) {
-        self.absent(id);
+    /// Handles another process at the address of an endpoint, which has therefore exited.
+    pub fn on_replaced(&mut self, id: &EndpointId) {
+        self.unlist(id);
     }
 
-    /// Takes in an instance that the list doesn't show yet; one that it has dropped stays gone.
-    pub fn succeed(&mut self, spec: EndpointSpec, now: Micros) {
+    /// Adds an endpoint that identified itself before the list names it, unless the list dropped it
+    /// recently.
+    pub fn on_identified(&mut self, spec: EndpointSpec, now: Micros) {
         let is_new = !self.endpoints.contains_key(&spec.id);
         if is_new && !self.departed.contains_key(&spec.id) {
-            self.present(spec, now);
-            self.settle_addresses();
+            self.add_or_update(spec, now);
+            self.resolve_shared_addresses();
         }
     }
 
-    /// Finds out who listens at addresses that several entries name.
-    fn settle_addresses(&mut self) {
+    /// Decides which endpoint listens at each address that several entries name.
+    fn resolve_shared_addresses(&mut self) {
         let mut newest: HashMap<SocketAddr, EntryAge> = HashMap::new();
         let listed = self.endpoints.values().filter(|e| e.listed);
         for endpoint in listed.filter(|e| self.is_service(&e.spec.service)) {
@@ -185,7 +186,8 @@
         }
     }
 
-    /// Whether the configuration names a service; without one any service may be named later.
+    /// Whether the configuration names a service. Before the first configuration every service counts
+    /// as named.
     fn is_service(&self, service: &ServiceId) -> bool {
         self.services
             .as_ref()
--- a/src/gateway/dispatch/fleet/losses.rs
+++ b/src/gateway/dispatch/fleet/losses.rs
@@ -1,19 +1,20 @@
-//! When an endpoint is avoided or suspected after losses, and when it is trusted again.
+//! When endpoints are avoided, suspected or unreachable after losses, and when they are trusted again.
 //!
-//! | state | begins | ends | what it means for placement |
+//! | state | begins | ends | effect on placement |
 //! |---|---|---|---|
-//! | avoided | a connection to it broke or could not be made, by this box's account or a peer's | after 0.8 s, doubled with each failure in a row up to 6 s; or with a success | only where nothing else is left |
-//! | suspected | [`DOMAIN_LOSSES`] endpoints of its service in its failure domain were lost within [`DOMAIN_WINDOW`] | it is heard, or [`SUSPECTED_FOR`] has passed | dearer than a full endpoint; no host of replicas |
-//! | unreachable | [`UNREACHABLE_AFTER`] connections in a row to its failure domain failed | a connection to the domain is made | one trial each [`TRIAL_PAUSE`], else left out |
+//! | avoided | a connection to it broke or failed, at this box or as reported by a peer | after 0.8 s, doubled with each failure in a row up to 6 s; or with a success | only where nothing else is left |
+//! | suspected | [`DOMAIN_LOSSES`] endpoints of its service in its failure domain were lost within [`DOMAIN_WINDOW`] | a message from it arrives, or [`SUSPECTED_FOR`] has passed | costs more than a full endpoint; hosts no replicas |
+//! | unreachable | [`UNREACHABLE_AFTER`] connections in a row to its failure domain failed | a connection to the domain succeeds | excluded, except for one trial each [`TRIAL_INTERVAL`] |
 //!
-//! An endpoint that was there before its domain failed is most likely gone, or in another life: it
-//! comes back under another id, or under its own with another birth ([`super::incarnations`]), and
-//! is trusted from then on. 16 of 21 late streams of lundavik quiet-1 had their replica at an
-//! instance that had died with its domain before it was chosen. Lundavik's score rose from 0.809 to
-//! 0.925 with suspicion by domain and with losses told to peers (4d9b3e2).
+//! An endpoint that was known before its domain failed has most likely exited or restarted. It
+//! returns under another id, or under its own id with another start time
+//! ([`super::incarnations`]), and is trusted from then on. In one outage 16 of 21 late streams had
+//! their replica at an endpoint that had exited with its domain before it was selected. Suspicion by
+//! domain, together with losses reported to peers, raised the score there from 0.809 to 0.925.
 //!
-//! Owns: losses of the last moments. Relies on: [`super::Endpoint::heard`], and peers' accounts of
-//! what they lost.
+//! Inputs: failures and successes at this box, and losses that peers report. State: recent losses,
+//! outages by service and domain, and domains that are unreachable. Relies on
+//! [`super::Endpoint::last_seen`].
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -23,39 +24,40 @@
 use crate::gateway::dispatch::event::EndpointSpec;
 use crate::schema::{DomainId, EndpointId, EndpointIncarnation, Micros, ServiceId};
 
-/// How long an endpoint is avoided after its first failure.
+/// Time that an endpoint is avoided after its first failure.
 const FIRST_AVOIDANCE: Duration = Duration::from_millis(800);
-/// The longest time that an endpoint is avoided.
+/// Maximum time that an endpoint is avoided.
 const LONGEST_AVOIDANCE: Duration = Duration::from_secs(6);
-/// Failures in a row after which the avoidance grows no more.
+/// Failures in a row after which the time is no longer doubled.
 const MOST_AVOIDANCE_DOUBLINGS: u32 = 4;
-/// Losses in one failure domain that tell of a loss of the domain.
+/// Losses of one service in one failure domain that count as an outage of the domain.
 const DOMAIN_LOSSES: usize = 2;
-/// The time within which these losses must lie.
+/// Time within which these losses must lie.
 const DOMAIN_WINDOW: Duration = Duration::from_millis(1_500);
-/// Other losses in a domain with which an endpoint has fallen, and one over the part of the
-/// domain's endpoints that they must be. A domain that falls loses nine in ten on the users' days.
-const FALL_LOSSES: usize = 2;
-const FALL_PART: usize = 3;
-/// How far apart they may lie.
-const FALL_WINDOW: Duration = Duration::from_secs(1);
-/// Connections to a domain that must fail in a row before it counts as unreachable. A request burnt
-/// twelve connections on dead instances before this bound (lundavik scale-2, docs/FINDINGS.md).
+/// Other losses in a domain that explain the loss of an endpoint by an outage of the domain.
+const OUTAGE_LOSSES: usize = 2;
+/// One over the share of the domain's endpoints that must be lost. An outage of a domain takes nine
+/// endpoints in ten.
+const OUTAGE_PART: usize = 3;
+/// Maximum time between these losses and that of the endpoint.
+const OUTAGE_WINDOW: Duration = Duration::from_secs(1);
+/// Connections to a domain that must fail in a row before it counts as unreachable. Without this
+/// bound a request used up twelve connections on dead endpoints (docs/FINDINGS.md).
 const UNREACHABLE_AFTER: u32 = 3;
-/// Time between trials of a domain that can't be reached.
-const TRIAL_PAUSE: Duration = Duration::from_millis(300);
-/// How long an endpoint that was there before its domain failed is suspected, unless it is heard: a
-/// restarted one is listed under another id or birth by then.
+/// Time between trials of an unreachable domain.
+const TRIAL_INTERVAL: Duration = Duration::from_millis(300);
+/// Time that an endpoint that was known before its domain failed is suspected, unless a message from
+/// it arrives: a restarted one is listed under another id or start time by then.
 const SUSPECTED_FOR: Duration = Duration::from_millis(4_500);
-/// How long an endpoint is suspected before it is asked who it is: one that restarts needs about as
-/// long.
+/// Time that an endpoint is suspected before its identity is requested: about as long as a restart
+/// takes.
 pub(super) const IDENTIFY_AFTER: Duration = Duration::from_millis(1_400);
-/// Time between two such questions.
-const IDENTIFY_AGAIN: Duration = Duration::from_millis(1_500);
-/// How recently this box must have heard an endpoint to trust that more than a peer's word.
-const HEARD_LATELY: Duration = Duration::from_millis(200);
+/// Time between two identity requests to one endpoint.
+const IDENTIFY_INTERVAL: Duration = Duration::from_millis(1_500);
+/// Age of the last message from an endpoint up to which it outweighs a loss that a peer reports.
+const SEEN_RECENTLY: Duration = Duration::from_millis(200);
 
-/// An endpoint that was lost, by this box's own account or a peer's.
+/// The loss of an endpoint, observed by this box (`is_own`) or reported by a peer.
 #[derive(Clone, Debug)]
 struct Loss {
     at: Micros,
@@ -65,23 +67,24 @@
     is_own: bool,
 }
 
-/// A failure domain whose endpoints of a service could not be connected to.
+/// Failed connections to the endpoints of a service in a failure domain.
 #[derive(Clone, Copy, Debug)]
 struct Unreachable {
+    /// Failures in a row.
     failures: u32,
     last: Micros,
     next_trial: Micros,
 }
 
-/// All that is known of losses.
+/// Losses of endpoints and their consequences.
 #[derive(Debug, Default)]
 pub(super) struct Losses {
     recent: Vec<Loss>,
-    /// When several endpoints of a service were lost at once in a domain: the begin of its outage.
-    /// Endpoints that were there before and go on being lost belong to the same outage; otherwise
-    /// attempts at dead ones put off the question who has their addresses now, and make those
-    /// suspected that came up meanwhile. Prompts read again after an address was taken over, of
-    /// 11,550 streams: 22, and 61 if each loss begins an outage (grown Nilecycle, six plays).
+    /// When the outage of a domain began for a service: several endpoints were lost at once. Further
+    /// losses of endpoints that were known before belong to the same outage. Otherwise failed
+    /// attempts at dead endpoints postpone the identity requests for their addresses, and make
+    /// endpoints suspected that started meanwhile. Prompts prefilled again after an address was taken
+    /// over, of 11,550 streams: 22, and 61 if each loss begins an outage.
     outages: BTreeMap<(ServiceId, DomainId), Micros>,
     unreachable: BTreeMap<(ServiceId, DomainId), Unreachable>,
 }
@@ -94,7 +97,7 @@
 }
 
 impl Fleet {
-    /// Notes that an endpoint could not be connected to.
+    /// Handles a connection to an endpoint that could not be made.
     pub fn on_unreachable(&mut self, id: &EndpointId, now: Micros) {
         let Some(endpoint) = self.endpoints.get(id) else {
             return;
@@ -111,11 +114,11 @@
         entry.failures += 1;
         entry.last = now;
         if entry.failures >= UNREACHABLE_AFTER {
-            entry.next_trial = now.after(TRIAL_PAUSE);
+            entry.next_trial = now.after(TRIAL_INTERVAL);
         }
     }
 
-    /// Notes that an endpoint could be connected to, whatever it said.
+    /// Handles a connection to an endpoint that was made, whatever the answer.
     pub fn on_reached(&mut self, id: &EndpointId) {
         if let Some(endpoint) = self.endpoints.get(id) {
             let key = (endpoint.spec.service.clone(), endpoint.spec.domain.clone());
@@ -123,7 +126,7 @@
         }
     }
 
-    /// Whether an endpoint's domain can't be reached, and no trial is due.
+    /// Whether the domain of an endpoint is unreachable and no trial is due.
     #[must_use]
     pub fn is_unreachable(&self, endpoint: &Endpoint, now: Micros) -> bool {
         let key = (endpoint.spec.service.clone(), endpoint.spec.domain.clone());
@@ -133,8 +136,8 @@
             .is_some_and(|entry| now < entry.next_trial)
     }
 
-    /// Whether a service has endpoints, but none in a failure domain and none elsewhere that could
-    /// be connected to lately.
+    /// Whether a service has endpoints, but none in the given failure domain, and recent connections
+    /// to all others failed.
     #[must_use]
     pub fn is_out_of_reach(&self, service: &ServiceId, domain: &DomainId) -> bool {
         let mut endpoints = self
@@ -151,19 +154,19 @@
         entry.is_some_and(|entry| entry.failures >= UNREACHABLE_AFTER)
     }
 
-    /// Notes an attempt, which is the trial if its domain can't be reached.
-    pub fn on_sending(&mut self, endpoint: &EndpointSpec, now: Micros) {
+    /// Handles the start of an attempt, which counts as the trial if the domain is unreachable.
+    pub fn on_attempt(&mut self, endpoint: &EndpointSpec, now: Micros) {
         let key = (endpoint.service.clone(), endpoint.domain.clone());
         if let Some(entry) = self.losses.unreachable.get_mut(&key)
             && entry.failures >= UNREACHABLE_AFTER
         {
-            entry.next_trial = now.after(TRIAL_PAUSE);
+            entry.next_trial = now.after(TRIAL_INTERVAL);
         }
     }
 
-    /// Notes that a connection to an endpoint broke or can't be made.
+    /// Handles a connection to an endpoint that broke or could not be made.
     pub fn on_failure(&mut self, id: &EndpointId, now: Micros) {
-        self.note_answer(id, AnswerKind::Broken, now);
+        self.record_outcome(id, AnswerKind::Broken, now);
         let Some(endpoint) = self.endpoints.get_mut(id) else {
             return;
         };
@@ -172,13 +175,13 @@
         }
         let avoidance = doubled(FIRST_AVOIDANCE, endpoint.failures, MOST_AVOIDANCE_DOUBLINGS);
         endpoint.failures += 1;
-        endpoint.note_unsure(now);
+        endpoint.mark_maybe_restarted(now);
         endpoint.avoided_until = now.after(avoidance.min(LONGEST_AVOIDANCE));
-        self.note_loss(id, now, true);
+        self.record_loss(id, now, true);
     }
 
-    /// Notes that an endpoint was lost; several at once tell of a loss of their domain.
-    fn note_loss(&mut self, id: &EndpointId, now: Micros, is_own: bool) {
+    /// Records the loss of an endpoint; several at once count as an outage of their domain.
+    fn record_loss(&mut self, id: &EndpointId, now: Micros, is_own: bool) {
         let Some(endpoint) = self.endpoints.get(id) else {
             return;
         };
@@ -207,33 +210,33 @@
         }
     }
 
-    /// Whether others of a service ended in a failure domain at about the time when one of them did:
-    /// two at least, and with it a third of those there. Those that `is_explained` takes for lost by
-    /// another cause don't count.
+    /// Whether an incarnation that ended at `at` was lost with its failure domain: at least two other
+    /// endpoints of the service there were lost at about the same time, and with it a third of all.
+    /// Losses that have another cause according to `is_explained` don't count.
     #[must_use]
     pub fn fell_with_domain(
         &self,
-        life: &EndpointIncarnation,
+        incarnation: &EndpointIncarnation,
         service: &ServiceId,
         domain: &DomainId,
         at: Micros,
         is_explained: impl Fn(&EndpointIncarnation) -> bool,
     ) -> bool {
-        let is_beside = |loss: &&Loss| {
+        let is_concurrent = |loss: &&Loss| {
             let apart = at.since(loss.at).max(loss.at.since(at));
             loss.domain == *domain
                 && loss.service == *service
-                && loss.endpoint.id != life.id
-                && apart < FALL_WINDOW
+                && loss.endpoint.id != incarnation.id
+                && apart < OUTAGE_WINDOW
                 && !is_explained(&loss.endpoint)
         };
-        let lost = self.losses.recent.iter().filter(is_beside).count();
+        let lost = self.losses.recent.iter().filter(is_concurrent).count();
         let all = self.of_service(service);
         let all = all.filter(|e| e.listed && e.spec.domain == *domain).count();
-        lost >= FALL_LOSSES && (lost + 1) * FALL_PART >= all
+        lost >= OUTAGE_LOSSES && (lost + 1) * OUTAGE_PART >= all
     }
 
-    /// The endpoints that this box itself lost a short while ago.
+    /// The endpoints whose loss this box itself observed within [`DOMAIN_WINDOW`].
     pub fn lost(&self, now: Micros) -> impl Iterator<Item = &EndpointIncarnation> {
         self.losses
             .recent
@@ -242,38 +245,42 @@
             .map(|loss| &loss.endpoint)
     }
 
-    /// Whether an endpoint may have been lost with others of its domain.
+    /// Whether an endpoint may have been lost in an outage of its domain.
     #[must_use]
     pub fn is_suspected(&self, endpoint: &Endpoint, now: Micros) -> bool {
         let key = (endpoint.spec.service.clone(), endpoint.spec.domain.clone());
         let Some(begin) = self.losses.outages.get(&key) else {
             return false;
         };
-        let is_unheard = endpoint.heard < *begin && endpoint.first_seen < *begin;
-        is_unheard && now.since(*begin) < SUSPECTED_FOR
+        let is_unseen = endpoint.last_seen < *begin && endpoint.first_seen < *begin;
+        is_unseen && now.since(*begin) < SUSPECTED_FOR
     }
 
-    /// The endpoints to be asked who they are; notes that they are. Those of a domain that have been
-    /// suspected for a while, and hosts of replicas that failed a while ago and may be in another
-    /// life.
-    pub fn to_identify(&mut self, domain: &DomainId, now: Micros) -> Vec<EndpointSpec> {
-        let mut found = self.unsure_hosts(now);
+    /// Returns the endpoints whose identity is to be requested now, and records the request: those of
+    /// a domain that have been suspected for [`IDENTIFY_AFTER`], and hosts of replicas that failed as
+    /// long ago and may have restarted.
+    pub fn take_due_identity_requests(
+        &mut self,
+        domain: &DomainId,
+        now: Micros,
+    ) -> Vec<EndpointSpec> {
+        let mut found = self.maybe_restarted_hosts(now);
         for ((service, of), begin) in &self.losses.outages {
             let suspected_for = now.since(*begin);
             if of != domain || !(IDENTIFY_AFTER..SUSPECTED_FOR).contains(&suspected_for) {
                 continue;
             }
             let suspected = self.endpoints.values_mut().filter(|e| {
-                let is_unheard = e.heard < *begin && e.first_seen < *begin;
+                let is_unseen = e.last_seen < *begin && e.first_seen < *begin;
                 e.listed
                     && !e.is_displaced
-                    && is_unheard
+                    && is_unseen
                     && e.spec.service == *service
                     && e.spec.domain == *domain
             });
             for endpoint in suspected {
-                if now.since(endpoint.identity_asked) >= IDENTIFY_AGAIN {
-                    endpoint.identity_asked = now;
+                if now.since(endpoint.identity_requested) >= IDENTIFY_INTERVAL {
+                    endpoint.identity_requested = now;
                     found.push(endpoint.spec.clone());
                 }
             }
@@ -281,42 +288,42 @@
         found
     }
 
-    /// Endpoints that hold replicas for this box and failed a while ago.
-    fn unsure_hosts(&mut self, now: Micros) -> Vec<EndpointSpec> {
+    /// Endpoints that hold replicas for this box, failed a while ago and may have restarted.
+    fn maybe_restarted_hosts(&mut self, now: Micros) -> Vec<EndpointSpec> {
         let mut found = Vec::new();
         for endpoint in self.endpoints.values_mut() {
-            let Some(since) = endpoint.unsure_since else {
+            let Some(since) = endpoint.maybe_restarted_since else {
                 continue;
             };
             let is_due = (IDENTIFY_AFTER..SUSPECTED_FOR).contains(&now.since(since))
-                && now.since(endpoint.identity_asked) >= IDENTIFY_AGAIN;
+                && now.since(endpoint.identity_requested) >= IDENTIFY_INTERVAL;
             let is_host = endpoint.takes_work() && endpoint.own.memory > 0;
             if is_host && is_due {
-                endpoint.identity_asked = now;
+                endpoint.identity_requested = now;
                 found.push(endpoint.spec.clone());
             }
         }
         found
     }
 
-    /// Takes in which endpoints a peer lost.
+    /// Applies losses that a peer reports.
     pub(super) fn on_peer_losses(&mut self, lost: &[EndpointIncarnation], now: Micros) {
-        for life in lost {
-            let id = &life.id;
+        for incarnation in lost {
+            let id = &incarnation.id;
             let is_known = self
                 .losses
                 .recent
                 .iter()
                 .any(|loss| loss.endpoint.id == *id);
-            let Some(endpoint) = self.get_incarnation_mut(life) else {
+            let Some(endpoint) = self.get_incarnation_mut(incarnation) else {
                 continue;
             };
-            if is_known || now.since(endpoint.heard) < HEARD_LATELY {
+            if is_known || now.since(endpoint.last_seen) < SEEN_RECENTLY {
                 continue;
             }
-            endpoint.note_unsure(now);
+            endpoint.mark_maybe_restarted(now);
             endpoint.avoided_until = endpoint.avoided_until.max(now.after(FIRST_AVOIDANCE));
-            self.note_loss(id, now, false);
+            self.record_loss(id, now, false);
         }
     }
 }
--- a/src/gateway/dispatch/fleet/usage.rs
+++ b/src/gateway/dispatch/fleet/usage.rs
@@ -1,159 +1,159 @@
-//! What runs at endpoints: counted from this box's own attempts, and from what peers tell.
+//! The load of endpoints: from this box's own attempts, and as reported by peers.
 //!
-//! A peer of the own failure domain tells at once what it began and ended at an endpoint, and now
-//! and then all that it runs. What it told grows old: the prompts are prefilled meanwhile, and
-//! after the time of a stream nothing of it counts any more. Of other domains one hears the sums
-//! over all their boxes, for plain services only.
+//! A peer of the own failure domain reports at once what it started and ended at an endpoint, and
+//! periodically all that it runs. Reports age: prompts are prefilled meanwhile, and after about the
+//! time of a stream a report no longer counts. Of other domains this box gets the sums over all
+//! their boxes, for plain services only.
 
 use std::time::Duration;
 
 use super::{Endpoint, Fleet};
 use crate::schema::{BoxId, DomainId, DomainUsage, EndpointId, EndpointUsage, Micros};
 
-/// Tokens of a prompt that an engine prefills in a millisecond, by the users' site sheets.
+/// Prompt tokens that an engine prefills in a millisecond.
 pub const PREFILL_TOKENS_PER_MS: f64 = 5.0;
-/// How long what a peer told of an engine counts: about as long as a stream takes (3.9 s from the
-/// first event on where prompts don't meet).
-const ENGINE_USAGE: Duration = Duration::from_secs(5);
-/// How long what a peer told of a plain service counts: five messages between boxes.
-const PLAIN_USAGE: Duration = Duration::from_millis(1_500);
-
-/// How long what a box of another failure domain told of all boxes there counts.
-const DOMAIN_USAGE: Duration = Duration::from_secs(3);
-
-/// What runs at an endpoint, by one box's count.
+/// How long a peer's report about an engine counts: about as long as a stream takes (3.9 s from the
+/// first event on if no other prompt is prefilled).
+const ENGINE_REPORT_LIFETIME: Duration = Duration::from_secs(5);
+/// How long a peer's report about a plain service counts: five intervals of messages between boxes.
+const PLAIN_REPORT_LIFETIME: Duration = Duration::from_millis(1_500);
+/// How long the sum over the boxes of another failure domain counts.
+const DOMAIN_REPORT_LIFETIME: Duration = Duration::from_secs(3);
+
+/// The load of an endpoint.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Usage {
-    /// Requests that run there.
+    /// Running requests.
     pub running: u32,
-    /// Tokens of prompts that wait for prefill: those whose first event has not come.
+    /// Prompt tokens of requests whose first event has not arrived.
     pub prefill: u32,
-    /// Tokens of KV memory that attempts and replicas take or will take.
+    /// Tokens of KV memory that attempts and replicas occupy or will occupy.
     pub memory: u32,
 }
 
-/// Who told what runs.
+/// The source of a report.
 #[derive(Clone, Debug, Eq, PartialEq)]
-enum Teller {
-    /// A box, of itself.
+enum Source {
+    /// A box, about its own load.
     Box(BoxId),
-    /// Some box of another failure domain, of all boxes there.
+    /// Some box, about the load of all boxes of a failure domain.
     Domain(DomainId),
 }
 
-/// What was told of an endpoint.
+/// A report about an endpoint.
 #[derive(Clone, Debug)]
 pub(super) struct PeerUsage {
-    from: Teller,
+    from: Source,
     at: Micros,
     usage: Usage,
 }
 
-/// What the boxes of a failure domain were last told to run.
+/// The latest report about all boxes of a failure domain.
 #[derive(Debug)]
-pub(super) struct ToldUsage {
+pub(super) struct ReportedUsage {
     at: Micros,
     usage: Vec<EndpointUsage>,
 }
 
 impl PeerUsage {
-    /// What is left of it by now, if it still counts.
-    fn left(&self, now: Micros) -> Option<Usage> {
+    /// The load that the report still stands for, without what was prefilled meanwhile; `None` once
+    /// it has expired.
+    fn remaining(&self, now: Micros) -> Option<Usage> {
         let age = now.since(self.at);
         let is_engine = self.usage.memory > 0;
-        let life = match self.from {
-            Teller::Box(_) if is_engine => ENGINE_USAGE,
-            Teller::Box(_) => PLAIN_USAGE,
-            Teller::Domain(_) => DOMAIN_USAGE,
+        let lifetime = match self.from {
+            Source::Box(_) if is_engine => ENGINE_REPORT_LIFETIME,
+            Source::Box(_) => PLAIN_REPORT_LIFETIME,
+            Source::Domain(_) => DOMAIN_REPORT_LIFETIME,
         };
-        let read = (age.as_secs_f64() * 1_000.0 * PREFILL_TOKENS_PER_MS) as u32;
-        (age < life).then_some(Usage {
-            prefill: self.usage.prefill.saturating_sub(read),
+        let prefilled = (age.as_secs_f64() * 1_000.0 * PREFILL_TOKENS_PER_MS) as u32;
+        (age < lifetime).then_some(Usage {
+            prefill: self.usage.prefill.saturating_sub(prefilled),
             ..self.usage
         })
     }
 }
 
 impl Fleet {
-    /// Takes in all that a peer runs.
+    /// Replaces the load of a peer by a report of all that it runs.
     pub(super) fn on_peer_state(&mut self, from: &BoxId, usage: &[EndpointUsage], now: Micros) {
-        let from = Teller::Box(from.clone());
-        self.forget_told_by(&from);
-        self.on_told(&from, usage, now);
+        let from = Source::Box(from.clone());
+        self.forget_reports_of(&from);
+        self.add_reports(&from, usage, now);
     }
 
-    /// Takes in what a peer runs at some endpoints.
+    /// Updates the load of a peer at some endpoints.
     pub fn on_peer_usage(&mut self, from: &BoxId, usage: &[EndpointUsage], now: Micros) {
-        self.on_told(&Teller::Box(from.clone()), usage, now);
+        self.add_reports(&Source::Box(from.clone()), usage, now);
     }
 
-    /// Takes in what the boxes of other failure domains than the own one run at plain services, by
-    /// whoever told it; what is older than what is known is of no use.
-    pub(super) fn on_domain_usage(&mut self, told: &[DomainUsage], own: &DomainId, now: Micros) {
-        for told in told.iter().filter(|told| told.domain != *own) {
-            let at = now.before(Duration::from_millis(told.age_ms.into()));
-            let known = self.domain_usage.get(&told.domain);
+    /// Applies reports, from any box, of the load of other failure domains at plain services; a report
+    /// that is not newer than the known one is ignored.
+    pub(super) fn on_domain_usage(&mut self, reports: &[DomainUsage], own: &DomainId, now: Micros) {
+        for report in reports.iter().filter(|report| report.domain != *own) {
+            let at = now.before(Duration::from_millis(report.age_ms.into()));
+            let known = self.domain_usage.get(&report.domain);
             if known.is_some_and(|known| known.at >= at) {
                 continue;
             }
-            let from = Teller::Domain(told.domain.clone());
-            self.forget_told_by(&from);
-            self.on_told(&from, &told.usage, at);
-            let usage = told.usage.clone();
+            let from = Source::Domain(report.domain.clone());
+            self.forget_reports_of(&from);
+            self.add_reports(&from, &report.usage, at);
+            let usage = report.usage.clone();
             self.domain_usage
-                .insert(told.domain.clone(), ToldUsage { at, usage });
+                .insert(report.domain.clone(), ReportedUsage { at, usage });
         }
     }
 
-    /// What other failure domains run at plain services, to be told inside the own one: each box
-    /// hears one of them each 1.2 s, all boxes of a domain together each 20 ms.
+    /// The load of other failure domains at plain services, to publish in the own one: each box
+    /// gets a report from one of them each 1.2 s, all boxes of a domain together each 20 ms.
     #[must_use]
     pub fn usage_of_others(&self, now: Micros) -> Vec<DomainUsage> {
-        let told = self.domain_usage.iter();
-        let fresh = told.filter(|(_, told)| now.since(told.at) < DOMAIN_USAGE);
-        let told = fresh.map(|(domain, told)| DomainUsage {
+        let reports = self.domain_usage.iter();
+        let fresh = reports.filter(|(_, report)| now.since(report.at) < DOMAIN_REPORT_LIFETIME);
+        let reports = fresh.map(|(domain, report)| DomainUsage {
             domain: domain.clone(),
-            age_ms: now.since(told.at).as_millis() as u32,
-            usage: told.usage.clone(),
+            age_ms: now.since(report.at).as_millis() as u32,
+            usage: report.usage.clone(),
         });
-        told.collect()
+        reports.collect()
     }
 
-    fn forget_told_by(&mut self, from: &Teller) {
+    fn forget_reports_of(&mut self, from: &Source) {
         for endpoint in self.endpoints.values_mut() {
             endpoint.others.retain(|other| other.from != *from);
         }
     }
 
-    fn on_told(&mut self, from: &Teller, usage: &[EndpointUsage], now: Micros) {
-        for told in usage {
-            let Some(endpoint) = self.get_incarnation_mut(&told.endpoint) else {
+    fn add_reports(&mut self, from: &Source, usage: &[EndpointUsage], now: Micros) {
+        for report in usage {
+            let Some(endpoint) = self.get_incarnation_mut(&report.endpoint) else {
                 continue;
             };
             endpoint
                 .others
-                .retain(|other| other.from != *from && other.left(now).is_some());
+                .retain(|other| other.from != *from && other.remaining(now).is_some());
             endpoint.others.push(PeerUsage {
                 from: from.clone(),
                 at: now,
                 usage: Usage {
-                    running: told.running,
-                    prefill: told.reading,
-                    memory: told.memory,
+                    running: report.running,
+                    prefill: report.reading,
+                    memory: report.memory,
                 },
             });
         }
     }
 
-    /// What this box and those of its failure domain run at plain services, to be told to others.
+    /// The load of this box and those of its failure domain at plain services, to publish in others.
     #[must_use]
     pub fn usage_of_domain(&self, domain: &DomainId, now: Micros) -> DomainUsage {
         let mut found = Vec::new();
         for endpoint in self.endpoints.values() {
-            let told = endpoint.others.iter();
-            let near = told.filter(|other| matches!(other.from, Teller::Box(_)));
-            let near = near.filter_map(|other| other.left(now));
-            let (running, memory) = near.fold(
+            let reports = endpoint.others.iter();
+            let local = reports.filter(|other| matches!(other.from, Source::Box(_)));
+            let local = local.filter_map(|other| other.remaining(now));
+            let (running, memory) = local.fold(
                 (endpoint.own.running, endpoint.own.memory),
                 |(running, memory), usage| (running + usage.running, memory + usage.memory),
             );
@@ -173,11 +173,15 @@
         }
     }
 
-    /// What runs at an endpoint by the count of all boxes that told of it lately.
+    /// The load of an endpoint over all boxes, as far as their reports have not expired.
     #[must_use]
     pub fn usage(&self, endpoint: &Endpoint, now: Micros) -> Usage {
         let mut total = endpoint.own;
-        for other in endpoint.others.iter().filter_map(|other| other.left(now)) {
+        for other in endpoint
+            .others
+            .iter()
+            .filter_map(|other| other.remaining(now))
+        {
             total.running += other.running;
             total.prefill += other.prefill;
             total.memory += other.memory;
@@ -185,7 +189,7 @@
         total
     }
 
-    /// What this box runs at an endpoint, to be told.
+    /// The load that this box causes at an endpoint, to publish.
     #[must_use]
     pub fn own_usage(&self, id: &EndpointId) -> Option<EndpointUsage> {
         let endpoint = self.endpoints.get(id)?;
@@ -197,7 +201,7 @@
         })
     }
 
-    /// All that this box runs, to be told.
+    /// The load that this box causes at all endpoints, to publish.
     pub fn all_own_usage(&self) -> impl Iterator<Item = EndpointUsage> {
         let used = self.endpoints.values();
         used.filter(|e| e.own != Usage::default())
--- a/src/gateway/dispatch/intake.rs
+++ b/src/gateway/dispatch/intake.rs
@@ -44,7 +44,7 @@
         self.note_endpoints(at);
         let states = changes.iter().map(EndpointState::of);
         self.record_endpoints(at, &states.collect::<Vec<_>>());
-        self.fleet.change_all(changes, self.now);
+        self.fleet.apply_changes(changes, self.now);
         self.record_ended_incarnations();
     }
 
--- a/src/gateway/dispatch/outcomes.rs
+++ b/src/gateway/dispatch/outcomes.rs
@@ -47,7 +47,7 @@
         let endpoint = active.endpoint.clone();
         self.fleet.on_reached(&endpoint.id);
         if let Some(endpoint) = self.fleet.get_incarnation_mut(&endpoint) {
-            endpoint.heard = now;
+            endpoint.last_seen = now;
         }
     }
 
@@ -81,7 +81,7 @@
         let prefilled = std::mem::take(&mut active.prefill);
         let endpoint = active.endpoint.clone();
         if let Some(endpoint) = self.fleet.get_incarnation_mut(&endpoint) {
-            endpoint.heard = now;
+            endpoint.last_seen = now;
             endpoint.own.prefill = endpoint.own.prefill.saturating_sub(prefilled);
         }
         self.record_crash_progress(number);
@@ -153,7 +153,7 @@
             Outcome::NotRun(NotRunCause::OtherInstance(instance)) => {
                 self.identify(endpoint, instance.as_ref());
                 self.fleet.on_reached(endpoint);
-                self.fleet.replaced(endpoint);
+                self.fleet.on_replaced(endpoint);
             }
             Outcome::Answered { status } if *status < LEAST_ERROR_STATUS => {
                 self.fleet.on_success(endpoint, self.now);
@@ -241,7 +241,7 @@
         born: Option<StartTime>,
     ) {
         if endpoint == instance {
-            let asked = self.fleet.get(endpoint).map(Endpoint::identity_asked);
+            let asked = self.fleet.get(endpoint).map(Endpoint::identity_requested);
             if let Some((asked, born)) = asked.zip(born) {
                 self.on_start_time(endpoint, born, asked);
             }
@@ -249,7 +249,7 @@
             return;
         }
         self.identify(endpoint, Some(instance));
-        self.fleet.replaced(endpoint);
+        self.fleet.on_replaced(endpoint);
     }
 
     /// Starts an identity check of an instance that took over an engine's address. During a store
--- a/src/gateway/dispatch/placement.rs
+++ b/src/gateway/dispatch/placement.rs
@@ -18,7 +18,7 @@
 use std::time::Duration;
 
 use crate::gateway::dispatch::event::Tokens;
-use crate::gateway::dispatch::fleet::health::Failing;
+use crate::gateway::dispatch::fleet::health::FailureShares;
 use crate::gateway::dispatch::fleet::usage::PREFILL_TOKENS_PER_MS;
 use crate::gateway::dispatch::fleet::{Endpoint, Fleet};
 use crate::gateway::dispatch::rollout::VersionRules;
@@ -248,7 +248,7 @@
     fleet: &'a Fleet,
     demand: Demand<'a>,
     /// Lowest failing shares among the endpoints of the service: the baseline for [`costs::FAILING`].
-    least_failing: Failing,
+    lowest_failure_shares: FailureShares,
     now: Micros,
 }
 
@@ -257,15 +257,15 @@
         Self {
             fleet,
             demand,
-            least_failing: fleet.least_failing(demand.service, now),
+            lowest_failure_shares: fleet.lowest_failure_shares(demand.service, now),
             now,
         }
     }
 
     /// The part of the cost that does not depend on the request.
     fn health_cost(&self, endpoint: &Endpoint, running: u32) -> f64 {
-        let failing = endpoint.health.failing(self.now);
-        let mut cost = failing.beyond(self.least_failing) * costs::FAILING;
+        let failing = endpoint.health.failure_shares(self.now);
+        let mut cost = failing.excess_over(self.lowest_failure_shares) * costs::FAILING;
         if running >= endpoint.spec.slots {
             cost += costs::FULL;
         }
--- a/src/gateway/dispatch/suspicion.rs
+++ b/src/gateway/dispatch/suspicion.rs
@@ -101,7 +101,7 @@
         };
         let heard = active
             .last_seen
-            .max(endpoint.heard)
+            .max(endpoint.last_seen)
             .max(endpoint.last_probe);
         let is_silent = self.now.since(heard) >= limit && endpoint.probe_sent.is_none();
         is_silent.then(|| active.endpoint.id.clone())
@@ -127,7 +127,7 @@
     /// 0.97 on one seed before, 0.91 to 0.98 after).
     pub(super) fn ask_identities(&mut self) {
         let domain = self.cfg.domain.clone();
-        for spec in self.fleet.to_identify(&domain, self.now) {
+        for spec in self.fleet.take_due_identity_requests(&domain, self.now) {
             let service = self.table.as_ref().and_then(|t| t.service(&spec.service));
             let Some(service) = service.filter(|s| s.engine.is_some()) else {
                 continue;
@@ -153,12 +153,12 @@
         };
         let asked = endpoint.probe_sent.take().unwrap_or(now);
         if is_answered {
-            endpoint.heard = now;
+            endpoint.last_seen = now;
             self.fleet.on_reached(id);
             return;
         }
         // Something else may have been heard of it since it was asked.
-        if endpoint.heard > asked {
+        if endpoint.last_seen > asked {
             return;
         }
         self.on_loss(id);
--- a/tests/outages.rs
+++ b/tests/outages.rs
@@ -37,7 +37,7 @@
 
 fn asked(fleet: &mut Fleet, at: Micros) -> usize {
     let north: DomainId = "north".parse().unwrap();
-    fleet.to_identify(&north, at).len()
+    fleet.take_due_identity_requests(&north, at).len()
 }
 
 fn is_suspected(fleet: &Fleet, name: &str, at: Micros) -> bool {
@@ -56,7 +56,7 @@
 fn an_engine_that_came_up_meanwhile_is_not_suspected_for_the_dead_ones() {
     let mut fleet = with_two_lost();
     let successor = engine("engine-1b", 9_001);
-    fleet.change(EndpointChange::Present(successor), after(1_500));
+    fleet.apply_change(EndpointChange::Present(successor), after(1_500));
     fleet.on_failure(&id("engine-3"), after(1_600));
     fleet.on_failure(&id("engine-4"), after(1_700));
     assert!(!is_suspected(&fleet, "engine-1b", after(1_800)));
@@ -68,7 +68,7 @@
     let mut fleet = with_two_lost();
     for (n, port) in [(5, 9_005), (6, 9_006), (7, 9_007)] {
         let spec = engine(&format!("engine-{n}"), port);
-        fleet.change(EndpointChange::Present(spec), after(1_500));
+        fleet.apply_change(EndpointChange::Present(spec), after(1_500));
     }
     fleet.on_failure(&id("engine-5"), after(2_000));
     assert!(!is_suspected(&fleet, "engine-7", after(2_010)));
