--- a/src/gateway/dispatch/rollout.rs
+++ b/src/gateway/dispatch/rollout.rs
@@ -18,7 +18,7 @@
 //! The object in the store is the only durable state: after a restart of all boxes, they read from
 //! it which orders exist and which are finished. A status write names the revision that was read,
 //! so of two concurrent writes one wins, and a late write changes nothing. A box that doesn't watch
-//! the store keeps an order for [`CONFIRMATION_VALID_FOR`] after a watching box last confirmed_at it.
+//! the store keeps an order for [`CONFIRMATION_VALID_FOR`] after a watching box last confirmed it.
 //!
 //! Alternatives are discussed in docs/design/rollouts.md.
 
@@ -41,7 +41,7 @@
     DomainId, DomainTally, Micros, RolloutPhase, RolloutState, ServiceId, VersionId,
 };
 use canary::Canaries;
-use evidence::{Evidence, FAILED, Timed};
+use evidence::{Evidence, FAILED, TimeKind};
 use exposure::ExposureLimit;
 use status::{ObjectState, StatusWrites};
 
@@ -242,13 +242,13 @@
     /// appear idle, so prompts pile up at some of them and slow down each other's streams; slow
     /// events are not counted for [`HERD_DURATION`] then.
     #[must_use]
-    pub fn counts_result(&self, timed: Timed, bucket: u8, now: Micros) -> bool {
+    pub fn counts_result(&self, kind: TimeKind, bucket: u8, now: Micros) -> bool {
         let is_herd =
             self.phase == RolloutPhase::Switch && now.since(self.phase_since) < HERD_DURATION;
-        match timed {
-            Timed::FirstEvent => self.phase == RolloutPhase::Canary,
-            Timed::Event => self.is_judged() && (bucket == FAILED || !is_herd),
-            Timed::Call => self.is_judged(),
+        match kind {
+            TimeKind::FirstEvent => self.phase == RolloutPhase::Canary,
+            TimeKind::Event => self.is_judged() && (bucket == FAILED || !is_herd),
+            TimeKind::Call => self.is_judged(),
         }
     }
 
--- a/src/gateway/dispatch/rollout/evidence.rs
+++ b/src/gateway/dispatch/rollout/evidence.rs
@@ -35,7 +35,7 @@
 
 /// The kinds of time that are measured.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Timed {
+pub enum TimeKind {
     /// Duration of a whole call, in milliseconds.
     Call = 1,
     /// Time to a stream's first event, in milliseconds per thousand tokens of the prompt.
@@ -44,7 +44,7 @@
     Event = 3,
 }
 
-impl Timed {
+impl TimeKind {
     /// The kind that is counted once for each attempt, whether or not its first event is.
     #[must_use]
     pub fn of_attempt(is_stream: bool) -> Self {
@@ -72,30 +72,30 @@
     }
 
     /// Marks a kind as counted; returns whether it was not counted before.
-    pub fn take(&mut self, timed: Timed) -> bool {
-        let known = match timed {
-            Timed::Call => &mut self.call,
-            Timed::FirstEvent => &mut self.first_event,
-            Timed::Event => &mut self.event,
+    pub fn take(&mut self, kind: TimeKind) -> bool {
+        let known = match kind {
+            TimeKind::Call => &mut self.call,
+            TimeKind::FirstEvent => &mut self.first_event,
+            TimeKind::Event => &mut self.event,
         };
         !std::mem::replace(known, true)
     }
 }
 
 /// Low bits of a series' name that hold its kind of time.
-const TIMED_BITS: u32 = 2;
+const KIND_BITS: u32 = 2;
 
 /// The name of the series of a route and a kind of time.
 #[must_use]
-pub fn series_of(route: &str, timed: Timed) -> u32 {
+pub fn series_of(route: &str, kind: TimeKind) -> u32 {
     let route = xxh3_64(route.as_bytes()) as u32;
-    route << TIMED_BITS | timed as u32
+    route << KIND_BITS | kind as u32
 }
 
 /// Whether a series is of the given kind of time.
 #[must_use]
-pub fn series_is(series: u32, timed: Timed) -> bool {
-    series & ((1 << TIMED_BITS) - 1) == timed as u32
+pub fn series_has_kind(series: u32, kind: TimeKind) -> bool {
+    series & ((1 << KIND_BITS) - 1) == kind as u32
 }
 
 /// The histogram bucket of a time.
@@ -198,7 +198,7 @@
 #[derive(Debug, Default)]
 pub struct Evidence {
     own: BTreeMap<u32, OwnSeries>,
-    others: BTreeMap<DomainId, DomainReport>,
+    other_domains: BTreeMap<DomainId, DomainReport>,
     snapshots: VecDeque<(Micros, Counts)>,
     /// For each series, the bucket from which its times are slow, as of the last verdict.
     slow_from: BTreeMap<u32, usize>,
@@ -238,12 +238,12 @@
 
     /// Replaces the report of another domain, unless the known one is as new.
     pub fn on_tally(&mut self, tally: &DomainTally, at: Micros) {
-        let known = self.others.get(&tally.domain);
+        let known = self.other_domains.get(&tally.domain);
         if known.is_some_and(|known| known.at >= at) {
             return;
         }
         let series = tally.series.clone();
-        self.others
+        self.other_domains
             .insert(tally.domain.clone(), DomainReport { at, series });
     }
 
@@ -262,19 +262,25 @@
     /// The last reports of other domains, to publish within this one.
     #[must_use]
     pub fn other_tallies(&self, now: Micros) -> Vec<DomainTally> {
-        let tallies = self.others.iter().map(|(domain, report)| DomainTally {
-            domain: domain.clone(),
-            age_ms: super::saturating_millis(now.since(report.at)),
-            is_clear: false,
-            series: report.series.clone(),
-        });
+        let tallies = self
+            .other_domains
+            .iter()
+            .map(|(domain, report)| DomainTally {
+                domain: domain.clone(),
+                age_ms: super::saturating_millis(now.since(report.at)),
+                is_clear: false,
+                series: report.series.clone(),
+            });
         tallies.collect()
     }
 
     fn counts(&self, domain: &DomainId) -> Counts {
         let mut counts = Counts::new();
         let own = self.own_tally(domain);
-        let others = self.others.iter().map(|(of, report)| (of, &report.series));
+        let others = self
+            .other_domains
+            .iter()
+            .map(|(of, report)| (of, &report.series));
         for (of, series) in others.chain([(domain, &own.series)]) {
             for tally in series {
                 let by_domain = counts.entry(tally.series).or_default();
@@ -307,7 +313,8 @@
         };
         let since = now.since(*at).as_secs_f64();
         let counts = self.counts(domain).into_iter();
-        let of_attempts = counts.filter(|(series, _)| !series_is(*series, Timed::FirstEvent));
+        let of_attempts =
+            counts.filter(|(series, _)| !series_has_kind(*series, TimeKind::FirstEvent));
         let routes = of_attempts.map(|(series, by_domain)| {
             let (all, of_target) = attempts(&by_domain);
             let before = then.get(&series).map_or(0.0, |then| attempts(then).0);
--- a/src/gateway/dispatch/rollout/verdict.rs
+++ b/src/gateway/dispatch/rollout/verdict.rs
@@ -23,7 +23,7 @@
 //! 100; a test of means, where one slow answer decides; and a score that always includes all
 //! endpoints, where one failing endpoint of three rolls a sound version back.
 
-use super::evidence::{Timed, series_is};
+use super::evidence::{TimeKind, series_has_kind};
 use crate::schema::{AnswerTimes, SeriesTally};
 
 /// Buckets over the baseline's median from which a time is slow: twice as long. For first events it
@@ -129,7 +129,7 @@
 /// The bucket from which a time of a series is slow, given the baseline.
 #[must_use]
 pub fn slow_from(series: u32, baseline: &AnswerTimes) -> usize {
-    let buckets_over = if series_is(series, Timed::FirstEvent) {
+    let buckets_over = if series_has_kind(series, TimeKind::FirstEvent) {
         SLOW_BUCKETS_FIRST_EVENT
     } else {
         SLOW_BUCKETS
@@ -327,8 +327,8 @@
         BadAnswers::FailedOrSlow => "were bad",
     };
     let summary = format!(
-        "{} of its {} answers {verb}, score {:.1}, recent score {:.1}, without the worst endpoint {:.1} and \
-         {:.1}",
+        "{} of its {} answers {verb}, score {:.1}, recent score {:.1}, without the worst \
+         endpoint {:.1} and {:.1}",
         target.bad, target.all, score.all, recent_score.all, score.others, recent_score.others
     );
     let is_bad = |scores: Scores, from| scores.all >= from && scores.others >= BAD_SCORE_OF_OTHERS;
--- a/src/gateway/dispatch/rollout_samples.rs
+++ b/src/gateway/dispatch/rollout_samples.rs
@@ -22,7 +22,7 @@
 use super::event::{AttemptNumber, Fault, NotRunCause, Outcome, RequestNumber};
 use super::request::ActiveAttempt;
 use super::rollout::Rollout;
-use super::rollout::evidence::{FAILED, Timed, bucket_of, series_of};
+use super::rollout::evidence::{FAILED, TimeKind, bucket_of, series_of};
 use crate::schema::{Micros, RolloutSample, ServiceId};
 
 /// Lowest status of an answer that counts as failed. Client errors are included because a sound
@@ -43,7 +43,7 @@
             return;
         };
         let is_stream = request.route.kind.is_stream();
-        let timed = Timed::of_attempt(is_stream);
+        let kind = TimeKind::of_attempt(is_stream);
         let was_stopped = matches!(outcome, Outcome::Stopped | Outcome::Broken(Fault::Silent));
         if was_stopped && !active.is_connected {
             return;
@@ -63,8 +63,8 @@
         };
         // A stream that breaks off counts as failed even if its events were counted.
         let mut sampled = active.sampled;
-        if is_stream || sampled.take(timed) {
-            self.sample(number, active, timed, bucket);
+        if is_stream || sampled.take(kind) {
+            self.sample(number, active, kind, bucket);
         }
     }
 
@@ -105,10 +105,10 @@
         let Some(active) = request.and_then(|r| r.active.as_mut()) else {
             return;
         };
-        if active.sampled.take(Timed::FirstEvent) {
+        if active.sampled.take(TimeKind::FirstEvent) {
             let active = active.clone();
             let time = millis_per_thousand_tokens(now.since(active.started), prompt);
-            self.sample(number, &active, Timed::FirstEvent, bucket_of(time));
+            self.sample(number, &active, TimeKind::FirstEvent, bucket_of(time));
         }
     }
 
@@ -128,10 +128,10 @@
         let Some((events, time)) = events_so_far(last, active, now) else {
             return;
         };
-        if events >= TIMED_EVENTS && active.sampled.take(Timed::Event) {
+        if events >= TIMED_EVENTS && active.sampled.take(TimeKind::Event) {
             let active = active.clone();
             let bucket = bucket_of(time / events as f64);
-            self.sample(number, &active, Timed::Event, bucket);
+            self.sample(number, &active, TimeKind::Event, bucket);
         }
     }
 
@@ -159,25 +159,33 @@
             return;
         }
         let waited = now.since(active.started);
-        let (timed, time) = match (is_stream, events_so_far(last, active, now)) {
-            (false, _) => (Timed::Call, millis(waited)),
+        let (kind, time) = match (is_stream, events_so_far(last, active, now)) {
+            (false, _) => (TimeKind::Call, millis(waited)),
             (true, None) => (
-                Timed::FirstEvent,
+                TimeKind::FirstEvent,
                 millis_per_thousand_tokens(waited, prompt.max(1)),
             ),
             // The time is so long that the next few events can't bring the average down.
-            (true, Some((events, time))) => (Timed::Event, time / (events + TIMED_EVENTS) as f64),
+            (true, Some((events, time))) => {
+                (TimeKind::Event, time / (events + TIMED_EVENTS) as f64)
+            }
         };
         let bucket = bucket_of(time);
-        let has_prefill = active.prefill > 0 || timed != Timed::FirstEvent;
-        let is_slow = rollout.evidence().is_slow(series_of(&route, timed), bucket);
-        if has_prefill && is_slow && active.sampled.take(timed) {
+        let has_prefill = active.prefill > 0 || kind != TimeKind::FirstEvent;
+        let is_slow = rollout.evidence().is_slow(series_of(&route, kind), bucket);
+        if has_prefill && is_slow && active.sampled.take(kind) {
             let active = active.clone();
-            self.sample(number, &active, timed, bucket);
+            self.sample(number, &active, kind, bucket);
         }
     }
 
-    fn sample(&mut self, number: RequestNumber, active: &ActiveAttempt, timed: Timed, bucket: u8) {
+    fn sample(
+        &mut self,
+        number: RequestNumber,
+        active: &ActiveAttempt,
+        kind: TimeKind,
+        bucket: u8,
+    ) {
         let Some(request) = self.requests.get(&number) else {
             return;
         };
@@ -185,14 +193,14 @@
             return;
         };
         let endpoint = self.fleet.get_incarnation(&active.endpoint);
-        let Some(endpoint) = endpoint.filter(|_| rollout.counts_result(timed, bucket, self.now))
+        let Some(endpoint) = endpoint.filter(|_| rollout.counts_result(kind, bucket, self.now))
         else {
             return;
         };
         let is_target = endpoint.spec.version == rollout.order().target;
         let sample = RolloutSample {
             endpoint: active.endpoint.id.clone(),
-            series: series_of(&request.route.name, timed),
+            series: series_of(&request.route.name, kind),
             step: bucket,
         };
         rollout.evidence_mut().on_own_sample(sample, is_target);
--- a/src/gateway/dispatch/rollouts.rs
+++ b/src/gateway/dispatch/rollouts.rs
@@ -21,7 +21,7 @@
 use super::placement::Demand;
 use super::record::Record;
 use super::request::{ActiveAttempt, Request};
-use super::rollout::evidence::{Timed, series_of};
+use super::rollout::evidence::{TimeKind, series_of};
 use super::rollout::status::ObjectState;
 use super::rollout::{Effect, Rollout, RolloutContext, VersionRules};
 use super::roster::pack_address;
@@ -298,8 +298,8 @@
         };
         if request.attempts == 0 && request.is_canary.is_none() {
             let draw = rand::Rng::random::<f64>(&mut self.rng);
-            let timed = Timed::of_attempt(request.route.kind.is_stream());
-            let series = series_of(&request.route.name, timed);
+            let kind = TimeKind::of_attempt(request.route.kind.is_stream());
+            let series = series_of(&request.route.name, kind);
             request.is_canary = Some(draw < rollout.canary_share(series, self.now));
         }
     }
--- a/tests/rollout_verdict.rs
+++ b/tests/rollout_verdict.rs
@@ -1,6 +1,6 @@
 //! What is held of a version by its answers and those beside it.
 
-use magpiemoor::gateway::dispatch::rollout::evidence::{FAILED, Timed, bucket_of, series_of};
+use magpiemoor::gateway::dispatch::rollout::evidence::{FAILED, TimeKind, bucket_of, series_of};
 use magpiemoor::gateway::dispatch::rollout::verdict::{Series, Stratum, Verdict, judge};
 use magpiemoor::schema::AnswerTimes;
 use rstest::rstest;
@@ -41,7 +41,7 @@
 
 fn series(route: &str, strata: Vec<Stratum>) -> Series {
     Series {
-        name: series_of(route, Timed::Call),
+        name: series_of(route, TimeKind::Call),
         strata,
     }
 }
