--- a/src/gateway/dispatch.rs
+++ b/src/gateway/dispatch.rs
@@ -325,7 +325,7 @@
                 domain,
                 update: news,
             } => self.on_peer_crashes(domain.as_ref(), &news),
-            Event::PeerUsageCounts(news) => self.on_peer_began(&news),
+            Event::PeerUsageCounts(news) => self.on_peer_usage_counts(&news),
             Event::PeerHolder(holder) => self.on_peer_holder(&holder),
             Event::PeerLimits(news) => self.on_peer_limits(&news),
             Event::Fetched {
--- a/src/gateway/dispatch/duties.rs
+++ b/src/gateway/dispatch/duties.rs
@@ -1,33 +1,34 @@
-//! Carries the duty out: counts what begins, tells those that may hold the duty, and has the store and
-//! the platform called. What is decided, and when, is in [`super::duty`].
+//! Carries out the duty to report usage: counts requests that begin to run, publishes the counts to
+//! the boxes that may hold the duty, and emits the calls to the store and the platform.
+//! [`super::duty`] decides what is done, and when.
 //!
-//! A request counts once, when it is known that it began: a stream at its first event, a call at its
-//! answer, or when it breaks off. The boxes that may hold the duty are those that watch roll-outs, one
-//! in each failure domain. Who holds it is told with the state of each box, since a box that can't read
-//! the store has to know where the holder is.
+//! A request counts once, when it is known to have begun to run: a stream at its first event, a
+//! call when it is answered or breaks off. The boxes that may hold the duty are those that watch
+//! roll-outs, one in each failure domain. The state message of each box names the holder, since a
+//! box that can't read the store also has to know its address.
 
 use std::time::Duration;
 
 use super::Dispatcher;
 use super::action::Action;
-use super::duty::began::Window;
 use super::duty::lease::DutyAnswer;
+use super::duty::usage_counts::Window;
 use super::duty::{DutyStep, Now, ReportOutcome};
 use super::event::{Outcome, RequestNumber};
 use super::record::Record;
 use crate::clock::UnixMillis;
 use crate::schema::{DutyHolder, Micros, UsageCountUpdate};
 
-/// How often a box tells what began there: what it had not told is lost with it.
-const TELL_EVERY: Duration = Duration::from_secs(1);
+/// How often a box publishes its counts. Counts that are not published yet are lost with the box.
+const USAGE_PUBLISH_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What a box needs beside the duty's own state.
+/// The clock readings and the timer that the dispatcher keeps for the duty.
 #[derive(Debug)]
 pub(super) struct DutyClock {
-    /// The time of day when it was read last.
+    /// Both clocks at the last reading of the time of day.
     read: Now,
-    /// When this box tells next what began there.
-    next_told: Micros,
+    /// When this box publishes its counts next.
+    next_publish: Micros,
 }
 
 impl DutyClock {
@@ -37,11 +38,11 @@
                 steady: now,
                 day: UnixMillis(0),
             },
-            next_told: now,
+            next_publish: now,
         }
     }
 
-    /// Both clocks, once the time of day was read.
+    /// Returns the time by both clocks, or none before the first reading of the time of day.
     fn now(&self, steady: Micros) -> Option<Now> {
         let since = steady.since(self.read.steady);
         let day = self.read.day.0 + u64::try_from(since.as_millis()).unwrap_or(u64::MAX);
@@ -53,7 +54,7 @@
 }
 
 impl Dispatcher {
-    /// The time of day was read.
+    /// Handles a reading of the time of day: publishes counts that are due and performs the duty.
     pub(super) fn on_time_of_day(&mut self, day: UnixMillis) {
         let Some(duty) = self.duty.as_mut() else {
             return;
@@ -64,25 +65,23 @@
         };
         self.duty_clock.read = now;
         let is_stopping = self.stop_deadline.is_some();
-        if self.now >= self.duty_clock.next_told || is_stopping {
-            self.duty_clock.next_told = self.now.after(TELL_EVERY);
-            let news = duty.news(now);
+        if self.now >= self.duty_clock.next_publish || is_stopping {
+            self.duty_clock.next_publish = self.now.after(USAGE_PUBLISH_INTERVAL);
+            let update = duty.update(now);
             let to = self.store_watchers.addresses(self.now);
             if !to.is_empty() {
-                self.actions
-                    .push(Action::PublishUsageCounts { to, update: news });
+                self.actions.push(Action::PublishUsageCounts { to, update });
             }
         }
-        let domain_news = duty.domain_news(&self.cfg.domain, now);
-        if let Some((holder, news)) = domain_news.filter(|_| self.watches_rollouts) {
+        let domain_update = duty.domain_update(&self.cfg.domain, now);
+        if let Some((holder, update)) = domain_update.filter(|_| self.watches_rollouts) {
             let to = vec![holder];
-            self.actions
-                .push(Action::PublishUsageCounts { to, update: news });
+            self.actions.push(Action::PublishUsageCounts { to, update });
         }
         self.do_duty();
     }
 
-    /// Does what the duty asks for now.
+    /// Emits the actions that the duty requires now.
     fn do_duty(&mut self) {
         let may_hold = self.watches_rollouts && self.stop_deadline.is_none();
         let others = self.peers.roster().other_domains();
@@ -98,8 +97,8 @@
         }
     }
 
-    /// Counts a request that began to run, unless it was counted.
-    pub(super) fn count_began(&mut self, number: RequestNumber) {
+    /// Counts a request that began to run, unless it is counted already.
+    pub(super) fn count_request(&mut self, number: RequestNumber) {
         let now = self.duty_clock.now(self.now);
         let (Some(duty), Some(now)) = (self.duty.as_mut(), now) else {
             return;
@@ -113,32 +112,32 @@
         }
     }
 
-    /// Counts a call that began to run, by the end of its attempt.
-    pub(super) fn count_ended(&mut self, number: RequestNumber, outcome: &Outcome) {
+    /// Counts a call that began to run, at the end of its attempt.
+    pub(super) fn count_call(&mut self, number: RequestNumber, outcome: &Outcome) {
         let request = self.requests.get(&number);
         let is_call = request.is_some_and(|request| !request.route.kind.is_stream());
         if is_call && matches!(outcome, Outcome::Answered { .. } | Outcome::Broken(_)) {
-            self.count_began(number);
+            self.count_request(number);
         }
     }
 
-    /// A box told how many requests began there. Sums of the own failure domain would count its boxes
-    /// twice: they tell this one themselves.
-    pub(super) fn on_peer_began(&mut self, news: &UsageCountUpdate) {
-        let is_counted = news.of_domain.as_ref() == Some(&self.cfg.domain);
+    /// Merges the usage counts of another box. Sums of this failure domain are ignored, as its
+    /// boxes report their counts here themselves and would count twice.
+    pub(super) fn on_peer_usage_counts(&mut self, update: &UsageCountUpdate) {
+        let is_counted = update.of_domain.as_ref() == Some(&self.cfg.domain);
         if let Some(duty) = self.duty.as_mut().filter(|_| !is_counted) {
-            duty.on_news(news, self.now);
+            duty.on_update(update, self.now);
         }
     }
 
-    /// A box told who holds the duty.
+    /// Handles a peer's report of the holder of the duty.
     pub(super) fn on_peer_holder(&mut self, holder: &DutyHolder) {
         if let Some(duty) = self.duty.as_mut() {
             duty.on_holder(holder);
         }
     }
 
-    /// The store answered a call, or did not.
+    /// Handles the result of a store call.
     pub(super) fn on_duty_answered(&mut self, call: u64, answer: DutyAnswer) {
         let now = self.duty_clock.now(self.now);
         let (Some(duty), Some(now)) = (self.duty.as_mut(), now) else {
@@ -153,7 +152,7 @@
         self.do_duty();
     }
 
-    /// A report came to its end.
+    /// Handles the outcome of a report to the platform.
     pub(super) fn on_usage_reported(&mut self, window: Window, outcome: ReportOutcome) {
         let now = self.duty_clock.now(self.now);
         let (Some(duty), Some(now)) = (self.duty.as_mut(), now) else {
--- a/src/gateway/dispatch/duty.rs
+++ b/src/gateway/dispatch/duty.rs
@@ -1,24 +1,26 @@
 //! Duties: calls to the platform that one box at a time makes for all.
 //!
-//! The duty that there is reports usage: how many requests of each organisation began to run in each
-//! window of the time of day. [`began`] counts them at each box and gathers the counts, [`lease`] says
-//! who holds the duty, [`report`] which windows are settled and sent. [`UsageDuty`] puts these together;
-//! [`super::duties`] carries it out.
+//! The only duty reports usage: how many requests of each organisation began to run in each window
+//! of the time of day. [`usage_counts`] counts them at each box and aggregates the counts,
+//! [`lease`] determines the holder of the duty, and [`report`] which windows are settled and sent.
+//! [`UsageDuty`] combines these; [`super::duties`] carries it out.
 //!
-//! One object of the platform's store is all that lasts: the holder, its fencing token, and the windows
-//! whose counts are settled and not delivered yet. It is replaced under the revision that was read, so
-//! of two writers one wins, and a write that is applied late changes nothing. A window's counts are in
-//! the store before they are sent, so every later holder sends just these.
+//! The only persistent state is one object in the platform's store: the holder, its fencing token,
+//! and the windows whose counts are settled but not delivered yet. Each write replaces the revision
+//! that was read, so one of two concurrent writers wins, and a write that is applied late changes
+//! nothing. The counts of a window are stored before they are sent, so every later holder sends the
+//! same counts.
 //!
-//! What of a window nobody can know in full (a box was killed with counts that it had not told, a
-//! failure domain is cut off for longer than a report may wait): what is known is reported. The other
-//! way, to report nothing, is as wrong for all organisations as this is for some.
+//! Some counts may never be known in full: those that a killed box had not published, and those of
+//! a failure domain that is cut off for longer than a report may wait. In this case the known
+//! counts are reported. Reporting nothing would be as wrong for all organisations as this is for
+//! some.
 //!
-//! Weighed in docs/design/duties.md.
+//! docs/design/duties.md compares the alternatives.
 
-pub mod began;
 pub mod lease;
 pub mod report;
+pub mod usage_counts;
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -28,11 +30,11 @@
 use crate::schema::{
     BoxId, DomainId, DutyHolder, Incarnation, Micros, OrganisationId, UsageCountUpdate,
 };
-use began::{BeganCounts, Ledger, Window};
 use lease::{DutyAnswer, Lease, StoreCall};
 use report::Reports;
+use usage_counts::{LocalCounts, ReportedCounts, Window};
 
-/// Now, by both clocks.
+/// The current time by both clocks.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Now {
     /// The steady clock.
@@ -41,25 +43,25 @@
     pub day: UnixMillis,
 }
 
-/// A process of a box: what holds a duty.
+/// A process of a box that can hold a duty.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Holder {
     /// The box.
     pub id: BoxId,
-    /// Its life.
+    /// The incarnation of the box.
     pub incarnation: Incarnation,
-    /// Where its peers reach it.
+    /// The address at which peers reach the box.
     pub address: SocketAddr,
 }
 
-/// How the duty is done.
+/// The timing of the duty.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct DutyPolicy {
     /// The length of a window.
     pub window: Duration,
-    /// How long after a window's end its report may come.
+    /// How long after the end of a window its report may arrive.
     pub late: Duration,
-    /// How long a holder holds the duty after it last said so in the store.
+    /// How long a holder keeps the duty after its last write to the store.
     pub lease: Duration,
 }
 
@@ -68,16 +70,16 @@
 pub struct SettledWindow {
     /// The window.
     pub window: Window,
-    /// Requests that began, by organisation.
+    /// Requests that began to run, by organisation.
     pub counts: BTreeMap<OrganisationId, u64>,
 }
 
-/// What the store's object of the duty holds.
+/// The contents of the duty's object in the store.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct DutyRecord {
-    /// Who holds the duty, or held it last.
+    /// The current holder of the duty, or the last one.
     pub holder: Holder,
-    /// The fencing token: a greater one for each holder.
+    /// The fencing token, which increases with each holder.
     pub token: u64,
     /// How often the record was written, so that each write changes it.
     pub renewals: u64,
@@ -87,12 +89,12 @@
     pub settled: Vec<SettledWindow>,
 }
 
-/// What a box has to do for the duty.
+/// A step that a box takes for the duty.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum DutyStep {
-    /// Call the store; the answer belongs to the call's number.
+    /// Call the store; the answer is matched by the number of the call.
     Store(StoreCall),
-    /// Report a window.
+    /// Report a window to the platform.
     Report {
         /// The fencing token.
         token: u64,
@@ -101,33 +103,33 @@
     },
 }
 
-/// What became of a report.
+/// The outcome of a report.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ReportOutcome {
-    /// It was taken.
+    /// The platform accepted it.
     Taken,
-    /// A greater token was seen.
+    /// The platform refused it, as it has seen a greater token.
     Fenced,
-    /// It may have been taken or not.
+    /// The platform may have accepted it or not.
     Unknown,
 }
 
-/// The duty to report usage, as one box takes part in it.
+/// The duty to report usage, from the view of one box.
 #[derive(Debug)]
 pub struct UsageDuty {
-    began: BeganCounts,
-    ledger: Ledger,
+    local: LocalCounts,
+    reported: ReportedCounts,
     lease: Lease,
     reports: Reports,
 }
 
 impl UsageDuty {
-    /// A box that has counted nothing and knows of no holder.
+    /// Creates the state of a box that has counted nothing and knows no holder.
     #[must_use]
     pub fn new(me: Holder, policy: DutyPolicy) -> Self {
         Self {
-            began: BeganCounts::new(policy.window),
-            ledger: Ledger::default(),
+            local: LocalCounts::new(policy.window),
+            reported: ReportedCounts::default(),
             lease: Lease::new(me, policy.lease),
             reports: Reports::new(policy),
         }
@@ -135,30 +137,31 @@
 
     /// Counts a request that has begun to run.
     pub fn count(&mut self, organisation: &OrganisationId, day: UnixMillis) {
-        self.began.count(organisation, day);
+        self.local.count(organisation, day);
     }
 
-    /// What this box tells those of its failure domain that may hold the duty; it is one of them itself.
-    pub fn news(&mut self, now: Now) -> UsageCountUpdate {
-        let news = self.began.news(self.lease.me(), now.day);
-        self.ledger.on_news(&news, now.steady);
-        news
+    /// Returns the counts to publish to the boxes of this failure domain that may hold the duty.
+    /// This box may be one of these, so the counts are merged here too.
+    pub fn update(&mut self, now: Now) -> UsageCountUpdate {
+        let update = self.local.update(self.lease.me(), now.day);
+        self.reported.on_update(&update, now.steady);
+        update
     }
 
-    /// What began in the whole failure domain, and where it is told: at the holder, if that is another
-    /// box.
+    /// Returns the counts of the whole failure domain and the address of the holder, if that is
+    /// another box.
     #[must_use]
-    pub fn domain_news(
+    pub fn domain_update(
         &self,
         domain: &DomainId,
         now: Now,
     ) -> Option<(SocketAddr, UsageCountUpdate)> {
         let holder = self.lease.holder_elsewhere()?;
-        let news = self.ledger.domain_news(self.lease.me(), domain, now);
-        Some((holder.address, news))
+        let update = self.reported.domain_update(self.lease.me(), domain, now);
+        Some((holder.address, update))
     }
 
-    /// Who holds the duty, as far as this box knows, to be told.
+    /// Returns the holder of the duty, as far as this box knows, for its state message.
     #[must_use]
     pub fn holder(&self) -> Option<DutyHolder> {
         let (token, holder) = self.lease.known()?;
@@ -170,33 +173,33 @@
         })
     }
 
-    /// Another box told who holds the duty; one without an address that can be read tells nothing.
-    pub fn on_holder(&mut self, told: &DutyHolder) {
-        if let Ok(address) = told.address.parse() {
+    /// Merges a peer's report of the holder; a report whose address can't be parsed is ignored.
+    pub fn on_holder(&mut self, reported: &DutyHolder) {
+        if let Ok(address) = reported.address.parse() {
             let holder = Holder {
-                id: told.id.clone(),
-                incarnation: told.incarnation,
+                id: reported.id.clone(),
+                incarnation: reported.incarnation,
                 address,
             };
-            self.lease.on_told(told.token, holder);
+            self.lease.learn_holder(reported.token, holder);
         }
     }
 
-    /// A box told what began there.
-    pub fn on_news(&mut self, news: &UsageCountUpdate, now: Micros) {
-        self.ledger.on_news(news, now);
+    /// Merges the counts of another box.
+    pub fn on_update(&mut self, update: &UsageCountUpdate, now: Micros) {
+        self.reported.on_update(update, now);
     }
 
-    /// What is to be done now; `may_hold` tells whether this box is one of those that hold the duty,
-    /// `others` are the other failure domains with boxes that run.
+    /// Returns the steps to take now. `may_hold` tells whether this box is one of those that may
+    /// hold the duty; `others` are the other failure domains with running boxes.
     pub fn tick(&mut self, may_hold: bool, others: &[DomainId], now: Now) -> Vec<DutyStep> {
         let mut steps = Vec::new();
         if !may_hold {
-            self.lease.leave();
+            self.lease.release();
             return steps;
         }
-        let (reports, ledger) = (&self.reports, &self.ledger);
-        let amend = |record: &DutyRecord| reports.amend(record, ledger, others, now);
+        let (reports, reported) = (&self.reports, &self.reported);
+        let amend = |record: &DutyRecord| reports.amend(record, reported, others, now);
         steps.extend(self.lease.next(amend, now).map(DutyStep::Store));
         let held = self.lease.held(now);
         let report = held.and_then(|record| {
@@ -207,16 +210,16 @@
         steps
     }
 
-    /// The store answered a call, or did not; returns the token if this box has just taken the duty
+    /// Handles the result of a store call; returns the token if this box has just taken the duty
     /// over.
     pub fn on_store(&mut self, call: u64, answer: DutyAnswer, now: Now) -> Option<u64> {
         self.lease.on_answer(call, answer, now)
     }
 
-    /// A report came to its end.
+    /// Handles the outcome of a report.
     pub fn on_reported(&mut self, window: Window, outcome: ReportOutcome, now: Now) {
         if outcome == ReportOutcome::Fenced {
-            self.lease.bar(now);
+            self.lease.on_fenced(now);
         }
         self.reports.on_reported(window, outcome);
     }
--- a/src/gateway/dispatch/duty/lease.rs
+++ b/src/gateway/dispatch/duty/lease.rs
@@ -1,95 +1,98 @@
-//! Who holds a duty: a lease with a fencing token, kept by the platform's store as one object.
+//! Determines who holds a duty: a lease with a fencing token, kept as one object in the platform's
+//! store.
 //!
-//! A box holds the duty for the lease's length from when it *sent* the last write that the store has
-//! answered as done. It takes the duty over once it has seen the object unchanged for a third longer
-//! than that, from when it first saw it; so the holder before has stopped by itself, whatever its
-//! clock's start, and however late the store tells. A write without an answer gives nothing: the object
-//! is read again.
+//! A box holds the duty for the length of the lease, counted from when it *sent* the last write
+//! that the store has confirmed. Another box takes the duty over once it has seen the object
+//! unchanged for a third longer than that, counted from when it first saw it in this state. The
+//! previous holder has then stopped by itself, whatever the offset of its clock and however late
+//! the store answers. A write without an answer confirms nothing: the object is read again.
 //!
-//! The token is the revision that the taking write replaced. The store lets one write replace a
-//! revision, and its revisions only rise, also where the object was removed and made again.
+//! The token is the revision that the takeover write replaced. The store lets only one write
+//! replace a revision, and its revisions only increase, even if the object is deleted and created
+//! again.
 //!
-//! The time is that of the steady clock and of the time of day, whichever is further on: the steady one
-//! leaves out the time in which a box is suspended, and the other may step back.
+//! Time is measured by the steady clock and by the time of day, whichever has advanced further: the
+//! steady clock omits the time for which a machine is suspended, and the time of day may be set
+//! back.
 //!
-//! A holder whose call was refused for its token calls no more for a lease's length.
+//! A holder whose call was refused for its token makes no calls for the length of a lease.
 //!
-//! Weighed: one elected box by messages alone (two sides of a cut each elect one), a token from memory
-//! (the same again after a restart), and this.
+//! Alternatives: a box elected by messages alone (both sides of a network partition elect one), and
+//! a token from memory (it repeats after a restart).
 
 use std::time::Duration;
 
-use super::began::Window;
+use super::usage_counts::Window;
 use super::{DutyRecord, Holder, Now};
 use crate::schema::Micros;
 
-/// How many writes a holder makes in the time of its lease.
-const RENEWALS: u32 = 3;
-/// How much longer than the lease an object must stand unchanged, as a part of the lease.
-const TAKEN_AFTER: f64 = 1.33;
-/// What must be left of a lease for a call to be made: as long as a call may take to be sent.
-const LEAST_LEFT: f64 = 0.3;
-/// How long the store is waited for.
-const STORE_ANSWER_LIMIT: Duration = Duration::from_secs(2);
+/// Writes of a holder in the length of its lease.
+const RENEWALS_PER_LEASE: u32 = 3;
+/// How long the object must stay unchanged before a takeover, as a multiple of the lease.
+const TAKEOVER_FACTOR: f64 = 1.33;
+/// The part of the lease that must remain for a call to be made: as long as it may take to be sent.
+const MIN_REMAINING: f64 = 0.3;
+/// How long a store call may stay unanswered before its result counts as unknown.
+const STORE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The object of a duty, as the store has it.
+/// The duty's object, as the store holds it.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct DutyObject {
     /// The revision of its last change.
     pub revision: u64,
-    /// What it holds, if that can be read.
+    /// Its contents, if they can be parsed.
     pub record: Option<DutyRecord>,
 }
 
 /// A call to the store.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct StoreCall {
-    /// Its number.
+    /// The number of the call, by which its answer is matched.
     pub number: u64,
-    /// What is asked.
-    pub ask: StoreAsk,
+    /// The requested operation.
+    pub operation: StoreOperation,
 }
 
-/// What the store is asked.
+/// An operation on the duty's object.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum StoreAsk {
-    /// For the object.
+pub enum StoreOperation {
+    /// Read the object.
     Read,
-    /// To make it.
-    Make(DutyRecord),
-    /// To replace it, if it still has a revision.
+    /// Create the object.
+    Create(DutyRecord),
+    /// Replace the object if it still has the given revision.
     Replace {
-        /// The revision.
+        /// The expected revision.
         revision: u64,
-        /// What it is to hold.
+        /// The new contents.
         record: DutyRecord,
     },
 }
 
-/// What the store answered.
+/// The store's answer to a call.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum DutyAnswer {
-    /// The object, as it was read, or as it is where a write met another revision.
-    Is(DutyObject),
-    /// There is none, at a revision of the store.
+    /// The object as it was read, or as it stands where a write found another revision.
+    Current(DutyObject),
+    /// There is no object.
     Missing {
-        /// The store's revision.
+        /// The revision of the store.
         at: u64,
     },
-    /// The write was done.
+    /// The write was applied.
     Done(DutyObject),
-    /// Nothing that tells whether anything was done.
-    Nothing,
+    /// There is no answer that tells whether the operation was applied.
+    Unknown,
 }
 
-/// What is known of the object.
+/// What this box knows of the object.
 #[derive(Debug)]
 enum Seen {
-    /// Nothing: it is to be read.
+    /// Nothing: the object must be read.
     Nothing,
-    /// There was none.
+    /// There was no object at this revision of the store.
     Missing { at: u64 },
-    /// It stands like this since it was first seen so.
+    /// The object, and when it was first seen in this state.
     Object { object: DutyObject, since: Now },
 }
 
@@ -97,46 +100,46 @@
 #[derive(Debug)]
 struct Held {
     record: DutyRecord,
-    /// When the write that it rests on was sent.
+    /// When the confirmed write was sent.
     sent: Now,
 }
 
-/// A call that is under way.
+/// A call that awaits its answer.
 #[derive(Debug)]
-struct Asked {
+struct InFlight {
     number: u64,
     sent: Now,
 }
 
-/// A record as it is to be written.
+/// A record to be written.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Amended {
     /// The record.
     pub record: DutyRecord,
-    /// Whether it is to be written before the lease must be renewed.
+    /// Whether it must be written before the next renewal is due.
     pub is_urgent: bool,
 }
 
-/// The lease, as one box sees it.
+/// The lease, from the view of one box.
 #[derive(Debug)]
 pub struct Lease {
     me: Holder,
     length: Duration,
     seen: Seen,
     held: Option<Held>,
-    /// Who holds the duty by the greatest token that was seen or told.
+    /// The holder with the greatest token that was read from the store or reported by a peer.
     known: Option<(u64, Holder)>,
-    /// When the store is called again after it did not answer.
-    pause_until: Micros,
-    asked: Option<Asked>,
-    read_at: Micros,
-    barred: Option<Now>,
-    /// The token that was refused last.
-    barred_token: Option<u64>,
+    /// When the store is called again after a call without an answer.
+    retry_at: Micros,
+    in_flight: Option<InFlight>,
+    next_read: Micros,
+    fenced_at: Option<Now>,
+    /// The token that was last refused.
+    fenced_token: Option<u64>,
     calls: u64,
 }
 
-/// The time from one reading of the clocks to another, by whichever went further.
+/// Returns the time between two readings of the clocks, by the clock that advanced further.
 fn elapsed(from: Now, to: Now) -> Duration {
     let steady = to.steady.since(from.steady);
     let day = Duration::from_millis(to.day.0.saturating_sub(from.day.0));
@@ -144,7 +147,7 @@
 }
 
 impl Lease {
-    /// A lease of which this box knows nothing yet.
+    /// Creates a lease of which this box knows nothing yet.
     #[must_use]
     pub fn new(me: Holder, length: Duration) -> Self {
         Self {
@@ -153,124 +156,130 @@
             seen: Seen::Nothing,
             held: None,
             known: None,
-            pause_until: Micros::ZERO,
-            asked: None,
-            read_at: Micros::ZERO,
-            barred: None,
-            barred_token: None,
+            retry_at: Micros::ZERO,
+            in_flight: None,
+            next_read: Micros::ZERO,
+            fenced_at: None,
+            fenced_token: None,
             calls: 0,
         }
     }
 
-    /// This box.
+    /// Returns the identity of this box.
     #[must_use]
     pub fn me(&self) -> &Holder {
         &self.me
     }
 
-    /// What this box holds, if it may act by it now.
+    /// Returns the record that this box holds, if it may act on it now.
     #[must_use]
     pub fn held(&self, now: Now) -> Option<&DutyRecord> {
         let held = self.held.as_ref()?;
-        let most = self.length.mul_f64(1.0 - LEAST_LEFT);
-        (elapsed(held.sent, now) < most && !self.is_barred(now)).then_some(&held.record)
+        let usable = self.length.mul_f64(1.0 - MIN_REMAINING);
+        (elapsed(held.sent, now) < usable && !self.is_fenced(now)).then_some(&held.record)
     }
 
-    /// Who holds the duty, as far as this box knows, if that is another one.
+    /// Returns the holder of the duty, as far as this box knows, if that is another box.
     #[must_use]
     pub fn holder_elsewhere(&self) -> Option<&Holder> {
         let known = self.known.as_ref().map(|(_, holder)| holder);
         known.filter(|holder| **holder != self.me)
     }
 
-    /// Who holds the duty with which token, as far as this box knows, to be told.
+    /// Returns the holder of the duty and its token, as far as this box knows.
     #[must_use]
     pub fn known(&self) -> Option<&(u64, Holder)> {
         self.known.as_ref()
     }
 
-    /// Another box told who holds the duty.
-    pub fn on_told(&mut self, token: u64, holder: Holder) {
+    /// Records a holder that was read from the store or reported by a peer, if its token is
+    /// greater.
+    pub fn learn_holder(&mut self, token: u64, holder: Holder) {
         if self.known.as_ref().is_none_or(|(known, _)| *known < token) {
             self.known = Some((token, holder));
         }
     }
 
-    /// Holds the duty no more.
-    pub fn leave(&mut self) {
+    /// Stops holding the duty.
+    pub fn release(&mut self) {
         self.held = None;
         self.seen = Seen::Nothing;
     }
 
-    /// Calls no more for a lease's length, since a greater token was seen.
-    pub fn bar(&mut self, now: Now) {
-        self.barred = Some(now);
-        self.barred_token = self.held.as_ref().map(|held| held.record.token);
-        self.leave();
+    /// Makes no calls for the length of a lease, since a greater token was seen.
+    pub fn on_fenced(&mut self, now: Now) {
+        self.fenced_at = Some(now);
+        self.fenced_token = self.held.as_ref().map(|held| held.record.token);
+        self.release();
     }
 
-    fn is_barred(&self, now: Now) -> bool {
-        self.barred
+    fn is_fenced(&self, now: Now) -> bool {
+        self.fenced_at
             .is_some_and(|since| elapsed(since, now) < self.length)
     }
 
-    /// The next call to the store, if one is due. `amend` gives the record as it is to be written.
+    /// Returns the next call to the store, if one is due. `amend` returns the record as it is to be
+    /// written.
     pub fn next(&mut self, amend: impl Fn(&DutyRecord) -> Amended, now: Now) -> Option<StoreCall> {
         let is_waiting = self
-            .asked
+            .in_flight
             .as_ref()
-            .is_some_and(|asked| elapsed(asked.sent, now) < STORE_ANSWER_LIMIT);
-        if is_waiting || self.is_barred(now) || now.steady < self.pause_until {
+            .is_some_and(|in_flight| elapsed(in_flight.sent, now) < STORE_TIMEOUT);
+        if is_waiting || self.is_fenced(now) || now.steady < self.retry_at {
             return None;
         }
-        if self.asked.take().is_some() {
-            // Whether it was done shows when the object is read.
+        if self.in_flight.take().is_some() {
+            // Reading the object shows whether the write was applied.
             self.seen = Seen::Nothing;
         }
-        let ask = self.ask(amend, now)?;
+        let operation = self.next_operation(amend, now)?;
         self.calls += 1;
-        self.asked = Some(Asked {
+        self.in_flight = Some(InFlight {
             number: self.calls,
             sent: now,
         });
         Some(StoreCall {
             number: self.calls,
-            ask,
+            operation,
         })
     }
 
-    fn ask(&mut self, amend: impl Fn(&DutyRecord) -> Amended, now: Now) -> Option<StoreAsk> {
+    fn next_operation(
+        &mut self,
+        amend: impl Fn(&DutyRecord) -> Amended,
+        now: Now,
+    ) -> Option<StoreOperation> {
         let is_lapsed = |held: &Held| elapsed(held.sent, now) >= self.length;
         if self.held.as_ref().is_some_and(is_lapsed) {
             self.held = None;
         }
         if let Seen::Missing { at } = self.seen {
             self.seen = Seen::Nothing;
-            return Some(StoreAsk::Make(self.first_record(at)));
+            return Some(StoreOperation::Create(self.first_record(at)));
         }
         if let Seen::Object { object, since } = &self.seen {
             let revision = object.revision;
             let record = match &self.held {
                 Some(held) => self.renewal(held, amend, now),
-                None => self.taking(object, *since, now),
+                None => self.takeover(object, *since, now),
             };
             if let Some(record) = record {
                 let renewals = record.renewals + 1;
                 let record = DutyRecord { renewals, ..record };
-                return Some(StoreAsk::Replace { revision, record });
+                return Some(StoreOperation::Replace { revision, record });
             }
             if self.held.is_some() {
                 return None;
             }
         }
-        if now.steady < self.read_at {
+        if now.steady < self.next_read {
             return None;
         }
-        self.read_at = now.steady.after(self.length / 2);
-        Some(StoreAsk::Read)
+        self.next_read = now.steady.after(self.length / 2);
+        Some(StoreOperation::Read)
     }
 
-    /// What the holder writes, if it is due.
+    /// Returns the record that the holder writes, if a write is due.
     fn renewal(
         &self,
         held: &Held,
@@ -278,28 +287,29 @@
         now: Now,
     ) -> Option<DutyRecord> {
         let amended = amend(&held.record);
-        let is_due = elapsed(held.sent, now) >= self.length / RENEWALS;
+        let is_due = elapsed(held.sent, now) >= self.length / RENEWALS_PER_LEASE;
         (is_due || amended.is_urgent).then_some(amended.record)
     }
 
-    /// What takes the duty over, if the holder has lost it. A taking write of this box's own whose
-    /// answer was lost is written once more: it holds nothing before the store has answered.
-    fn taking(&self, object: &DutyObject, since: Now, now: Now) -> Option<DutyRecord> {
+    /// Returns the record that takes the duty over, if the lease of the holder has expired. If the
+    /// answer to this box's own takeover write was lost, the record is written again: this box
+    /// holds nothing until the store has confirmed it.
+    fn takeover(&self, object: &DutyObject, since: Now, now: Now) -> Option<DutyRecord> {
         let before = object.record.clone();
-        let is_mine = |r: &DutyRecord| r.holder == self.me && self.barred_token != Some(r.token);
-        if let Some(record) = before.clone().filter(is_mine) {
+        let is_own = |r: &DutyRecord| r.holder == self.me && self.fenced_token != Some(r.token);
+        if let Some(record) = before.clone().filter(is_own) {
             return Some(record);
         }
-        let is_lost = elapsed(since, now) >= self.length.mul_f64(TAKEN_AFTER);
+        let is_expired = elapsed(since, now) >= self.length.mul_f64(TAKEOVER_FACTOR);
         let first = self.first_record(object.revision);
-        is_lost.then(|| DutyRecord {
+        is_expired.then(|| DutyRecord {
             holder: self.me.clone(),
             token: object.revision,
             ..before.unwrap_or(first)
         })
     }
 
-    /// The record of a duty that nobody held.
+    /// Returns the record of a duty that nobody has held yet.
     fn first_record(&self, token: u64) -> DutyRecord {
         DutyRecord {
             holder: self.me.clone(),
@@ -310,15 +320,17 @@
         }
     }
 
-    /// Takes in an answer; returns the token if this box has just taken the duty over.
+    /// Handles an answer; returns the token if this box has just taken the duty over.
     pub fn on_answer(&mut self, call: u64, answer: DutyAnswer, now: Now) -> Option<u64> {
-        let asked = self.asked.take_if(|asked| asked.number == call)?;
+        let in_flight = self
+            .in_flight
+            .take_if(|in_flight| in_flight.number == call)?;
         match answer {
-            DutyAnswer::Done(object) => return self.on_done(object, asked.sent, now),
-            DutyAnswer::Is(object) => self.on_seen(object, now),
+            DutyAnswer::Done(object) => return self.on_done(object, in_flight.sent, now),
+            DutyAnswer::Current(object) => self.on_seen(object, now),
             DutyAnswer::Missing { at } => self.seen = Seen::Missing { at },
-            DutyAnswer::Nothing => {
-                self.pause_until = now.steady.after(self.length / (2 * RENEWALS));
+            DutyAnswer::Unknown => {
+                self.retry_at = now.steady.after(self.length / (2 * RENEWALS_PER_LEASE));
                 self.seen = match std::mem::replace(&mut self.seen, Seen::Nothing) {
                     // A box that doesn't hold the duty goes on waiting for the object to change.
                     seen @ Seen::Object { .. } if self.held.is_none() => seen,
@@ -331,14 +343,14 @@
 
     fn on_done(&mut self, object: DutyObject, sent: Now, now: Now) -> Option<u64> {
         let record = object.record.clone();
-        let is_mine = |record: &DutyRecord| record.holder == self.me;
-        let Some(record) = record.filter(is_mine) else {
+        let is_own = |record: &DutyRecord| record.holder == self.me;
+        let Some(record) = record.filter(is_own) else {
             self.on_seen(object, now);
             return None;
         };
         let held = self.held.as_ref().map(|held| held.record.token);
         let token = record.token;
-        self.on_told(token, self.me.clone());
+        self.learn_holder(token, self.me.clone());
         self.seen = Seen::Object { object, since: now };
         self.held = Some(Held { record, sent });
         (held != Some(token)).then_some(token)
@@ -352,12 +364,12 @@
         }
         let record = object.record.clone();
         if let Some(record) = &record {
-            self.on_told(record.token, record.holder.clone());
+            self.learn_holder(record.token, record.holder.clone());
         }
-        // A write of this box's own whose answer was lost: it holds the duty as long as before.
+        // If the answer to this box's own write was lost, it holds the duty only as long as before.
         self.held = self.held.take().and_then(|held| {
-            let is_mine = |r: &DutyRecord| r.holder == self.me && r.token == held.record.token;
-            let record = record.filter(is_mine)?;
+            let is_own = |r: &DutyRecord| r.holder == self.me && r.token == held.record.token;
+            let record = record.filter(is_own)?;
             Some(Held { record, ..held })
         });
         self.seen = Seen::Object { object, since: now };
--- a/src/gateway/dispatch/event.rs
+++ b/src/gateway/dispatch/event.rs
@@ -7,8 +7,8 @@
 
 use crate::clock::UnixMillis;
 use crate::gateway::dispatch::duty::ReportOutcome;
-use crate::gateway::dispatch::duty::began::Window;
 use crate::gateway::dispatch::duty::lease::DutyAnswer;
+use crate::gateway::dispatch::duty::usage_counts::Window;
 use crate::gateway::dispatch::fetches::{FetchKind, FetchOutcome};
 use crate::gateway::dispatch::fleet::limits::RequestRate;
 use crate::gateway::dispatch::rollout::status::ObjectState;
--- a/src/gateway/dispatch/outcomes.rs
+++ b/src/gateway/dispatch/outcomes.rs
@@ -87,7 +87,7 @@
         self.record_crash_progress(number);
         self.sample_events(number, attempt);
         if is_first {
-            self.count_began(number);
+            self.count_request(number);
             self.sample_first_event(number, attempt, prefilled);
             self.record_first_event(id, &endpoint.id, is_resumed.then_some(pause), age);
         }
@@ -134,7 +134,7 @@
         }
         self.record_end(number, &active, outcome);
         self.sample_end(number, &active, outcome);
-        self.count_ended(number, outcome);
+        self.count_call(number, outcome);
         self.suspect_crash(number, &active, outcome);
         self.uncount_attempt(&active);
         if self.fleet.get_incarnation(&active.endpoint).is_some() {
--- a/src/gateway/shell/dialect.rs
+++ b/src/gateway/shell/dialect.rs
@@ -13,7 +13,7 @@
 
 use crate::gateway::dispatch::action::Attempt;
 use crate::gateway::dispatch::duty::SettledWindow;
-use crate::gateway::dispatch::duty::lease::{DutyAnswer, StoreAsk};
+use crate::gateway::dispatch::duty::lease::{DutyAnswer, StoreOperation};
 use crate::gateway::dispatch::event::{Arrival, EndpointSpec, NotRunCause, SnapshotName};
 use crate::gateway::dispatch::fleet::limits::RequestRate;
 use crate::gateway::dispatch::refusal::Refusal;
@@ -250,10 +250,10 @@
     fn read_quarantine(&self, entry: &Entry) -> Result<(Fingerprint, UnixMillis), Unreadable>;
 
     /// The call of the store that a duty needs.
-    fn duty_call(&self, ask: &StoreAsk) -> DutyCall;
+    fn duty_call(&self, operation: &StoreOperation) -> DutyCall;
 
     /// Reads the store's answer to it.
-    fn read_duty(&self, ask: &StoreAsk, status: StatusCode, body: &[u8]) -> DutyAnswer;
+    fn read_duty(&self, operation: &StoreOperation, status: StatusCode, body: &[u8]) -> DutyAnswer;
 
     /// The call that reports the usage of a window.
     fn usage_report(&self, holder: &BoxId, token: u64, window: &SettledWindow) -> DutyCall;
--- a/src/gateway/shell/duties.rs
+++ b/src/gateway/shell/duties.rs
@@ -12,7 +12,7 @@
 use http_body_util::Full;
 
 use crate::clock::{UnixMillis, wall_millis};
-use crate::gateway::dispatch::duty::lease::{DutyAnswer, StoreAsk, StoreCall};
+use crate::gateway::dispatch::duty::lease::{DutyAnswer, StoreCall, StoreOperation};
 use crate::gateway::dispatch::duty::{ReportOutcome, SettledWindow};
 use crate::gateway::dispatch::event::Event;
 use crate::gateway::dispatch::record::Record;
@@ -42,14 +42,16 @@
 
 /// Calls the store.
 pub async fn call_store(call: StoreCall, shared: GatewayShared) {
-    match call.ask {
-        StoreAsk::Read => shared.metrics.store_reads().inc(),
-        StoreAsk::Make(_) | StoreAsk::Replace { .. } => shared.metrics.store_writes().inc(),
+    match call.operation {
+        StoreOperation::Read => shared.metrics.store_reads().inc(),
+        StoreOperation::Create(_) | StoreOperation::Replace { .. } => {
+            shared.metrics.store_writes().inc()
+        }
     }
-    let wanted = shared.dialect.duty_call(&call.ask);
+    let wanted = shared.dialect.duty_call(&call.operation);
     let answered = send(wanted, shared.settings.platform).await;
-    let answer = answered.map_or(DutyAnswer::Nothing, |(status, body)| {
-        shared.dialect.read_duty(&call.ask, status, &body)
+    let answer = answered.map_or(DutyAnswer::Unknown, |(status, body)| {
+        shared.dialect.read_duty(&call.operation, status, &body)
     });
     let event = Event::DutyAnswered {
         call: call.number,
--- a/tests/duties.rs
+++ b/tests/duties.rs
@@ -9,7 +9,7 @@
 use duty_world::{Broken, Holding, Schedule, World};
 use magpiemoor::clock::UnixMillis;
 use magpiemoor::gateway::dispatch::duty::Holder;
-use magpiemoor::gateway::dispatch::duty::began::{BeganCounts, Ledger, Window};
+use magpiemoor::gateway::dispatch::duty::usage_counts::{LocalCounts, ReportedCounts, Window};
 use magpiemoor::schema::{Incarnation, Micros};
 use rstest::rstest;
 
@@ -83,42 +83,42 @@
 
 #[test]
 fn counts_of_all_lives_are_added_and_messages_may_come_twice() {
-    let mut ledger = Ledger::default();
+    let mut reported = ReportedCounts::default();
     let day = UnixMillis(50_000);
     let organisation = "shop".parse().unwrap();
     for (life, requests) in [(1, 3), (2, 4)] {
-        let mut counts = BeganCounts::new(LENGTH);
+        let mut counts = LocalCounts::new(LENGTH);
         for _ in 0..requests {
             counts.count(&organisation, day);
         }
-        let news = counts.news(&holder("box-1", life), day);
-        ledger.on_news(&news, Micros(1));
-        ledger.on_news(&news, Micros(2));
+        let update = counts.update(&holder("box-1", life), day);
+        reported.on_update(&update, Micros(1));
+        reported.on_update(&update, Micros(2));
     }
-    assert_eq!(ledger.totals(Window(10))[&organisation], 7);
-    assert!(ledger.totals(Window(11)).is_empty());
+    assert_eq!(reported.totals(Window(10))[&organisation], 7);
+    assert!(reported.totals(Window(11)).is_empty());
 }
 
 /// A window is whole once all boxes have told of it, or have not been heard for long.
 #[test]
 fn a_window_waits_for_all_boxes_that_are_heard() {
-    let mut ledger = Ledger::default();
-    let counts = BeganCounts::new(LENGTH);
-    let tell = |ledger: &mut Ledger, id: &str, day: u64, at: u64| {
-        let news = counts.news(&holder(id, 1), UnixMillis(day));
-        ledger.on_news(&news, Micros(at * 1_000));
+    let mut reported = ReportedCounts::default();
+    let counts = LocalCounts::new(LENGTH);
+    let report = |reported: &mut ReportedCounts, id: &str, day: u64, at: u64| {
+        let update = counts.update(&holder(id, 1), UnixMillis(day));
+        reported.on_update(&update, Micros(at * 1_000));
     };
-    tell(&mut ledger, "box-1", 50_000, 0);
-    tell(&mut ledger, "box-2", 50_000, 0);
+    report(&mut reported, "box-1", 50_000, 0);
+    report(&mut reported, "box-2", 50_000, 0);
     let end = Window(10).end(LENGTH);
     assert_eq!(end, UnixMillis(55_000));
-    tell(&mut ledger, "box-1", 55_100, 5_100);
-    assert!(!ledger.is_whole(end, &[], Micros(5_200_000)));
-    tell(&mut ledger, "box-2", 55_000, 5_300);
-    assert!(ledger.is_whole(end, &[], Micros(5_300_000)));
-    tell(&mut ledger, "box-1", 60_100, 10_000);
+    report(&mut reported, "box-1", 55_100, 5_100);
+    assert!(!reported.is_complete(end, &[], Micros(5_200_000)));
+    report(&mut reported, "box-2", 55_000, 5_300);
+    assert!(reported.is_complete(end, &[], Micros(5_300_000)));
+    report(&mut reported, "box-1", 60_100, 10_000);
     let end = Window(11).end(LENGTH);
-    assert!(!ledger.is_whole(end, &[], Micros(11_000_000)));
-    tell(&mut ledger, "box-1", 61_100, 11_400);
-    assert!(ledger.is_whole(end, &[], Micros(11_400_000)));
+    assert!(!reported.is_complete(end, &[], Micros(11_000_000)));
+    report(&mut reported, "box-1", 61_100, 11_400);
+    assert!(reported.is_complete(end, &[], Micros(11_400_000)));
 }
--- a/tests/gateway/duty_world.rs
+++ b/tests/gateway/duty_world.rs
@@ -11,8 +11,10 @@
 use std::time::Duration;
 
 use magpiemoor::clock::UnixMillis;
-use magpiemoor::gateway::dispatch::duty::began::Window;
-use magpiemoor::gateway::dispatch::duty::lease::{DutyAnswer, DutyObject, StoreAsk, StoreCall};
+use magpiemoor::gateway::dispatch::duty::lease::{
+    DutyAnswer, DutyObject, StoreCall, StoreOperation,
+};
+use magpiemoor::gateway::dispatch::duty::usage_counts::Window;
 use magpiemoor::gateway::dispatch::duty::{
     DutyPolicy, DutyRecord, DutyStep, Holder, Now, ReportOutcome, SettledWindow, UsageDuty,
 };
@@ -334,12 +336,12 @@
         }
         self.boxes[at].told_at = self.now + 1_000;
         let now = self.clocks(at);
-        let news = self.boxes[at].duty.news(now);
+        let news = self.boxes[at].duty.update(now);
         for to in (0..BOXES).filter(|to| *to != at) {
             let is_apart = self.is_cut(at) || self.is_cut(to);
             if self.boxes[to].is_running && !self.is_still(to) && !is_apart {
                 let steady = self.clocks(to).steady;
-                self.boxes[to].duty.on_news(&news, steady);
+                self.boxes[to].duty.on_update(&news, steady);
             }
         }
     }
@@ -431,7 +433,7 @@
                 call,
                 answers,
             } => {
-                let answer = self.store(call.ask);
+                let answer = self.store(call.operation);
                 if answers {
                     let way = self.rng.random_range(2..20);
                     let call = call.number;
@@ -511,7 +513,7 @@
         self.boxes[at].is_running && self.boxes[at].holder.incarnation.0 == life
     }
 
-    fn store(&mut self, ask: StoreAsk) -> DutyAnswer {
+    fn store(&mut self, operation: StoreOperation) -> DutyAnswer {
         let write = |world: &mut Self, record: DutyRecord| {
             world.revision += 1;
             let object = DutyObject {
@@ -521,16 +523,16 @@
             world.object = Some(object.clone());
             DutyAnswer::Done(object)
         };
-        match (ask, self.object.clone()) {
-            (StoreAsk::Read, None) => DutyAnswer::Missing { at: self.revision },
-            (StoreAsk::Make(record), None) => write(self, record),
-            (StoreAsk::Replace { revision, record }, Some(object))
+        match (operation, self.object.clone()) {
+            (StoreOperation::Read, None) => DutyAnswer::Missing { at: self.revision },
+            (StoreOperation::Create(record), None) => write(self, record),
+            (StoreOperation::Replace { revision, record }, Some(object))
                 if object.revision == revision =>
             {
                 write(self, record)
             }
-            (StoreAsk::Replace { .. }, None) => DutyAnswer::Nothing,
-            (_, Some(object)) => DutyAnswer::Is(object),
+            (StoreOperation::Replace { .. }, None) => DutyAnswer::Unknown,
+            (_, Some(object)) => DutyAnswer::Current(object),
         }
     }
 
