--- a/lab/src/gateway/crashes/fleet.rs
+++ b/lab/src/gateway/crashes/fleet.rs
@@ -255,7 +255,7 @@
             let Some(third) = counts.third() else {
                 continue;
             };
-            let fingerprint = callers::content_of(number).asked_by(None);
+            let fingerprint = callers::content_of(number).for_organisation(None);
             let quarantine = self.boxes[at].dispatcher.quarantine();
             if !counts.known.contains_key(&at) && quarantine.is_quarantined(fingerprint) {
                 counts.known.insert(at, now.since(third));
--- a/src/gateway/dispatch/fingerprint.rs
+++ b/src/gateway/dispatch/fingerprint.rs
@@ -1,12 +1,12 @@
-//! Which tries of callers are the same request.
+//! Fingerprints, by which retries of a request are recognised.
 //!
-//! Each try has an id of its own, so a request that is sent again is known by what it asks for and
-//! by who asks: method, host, path with its query, body, and the organisation. Headers don't count,
-//! since those that tell deadline and last event differ from try to try, nor does the key, since an
+//! Each retry has its own id, so a request is recognised by its content and its caller: method,
+//! host, path with query, body, and organisation. Headers are left out, since those for the
+//! deadline and the last event differ between retries. The key is left out too, since an
 //! organisation may have several.
 //!
-//! What is asked for is hashed with SHA-256, so that nobody can make a request that is taken for one
-//! of another organisation.
+//! The content is hashed with SHA-256, so that nobody can construct a request with the fingerprint
+//! of another organisation's request.
 
 use sha2::{Digest, Sha256};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -14,7 +14,7 @@
 use crate::schema::{Fingerprint, OrganisationId};
 
 impl Fingerprint {
-    /// Of what is asked for, whoever asks.
+    /// Returns the fingerprint of the content of a request, regardless of its caller.
     #[must_use]
     pub fn of_content(method: &str, host: &str, path_and_query: &str, body: &[u8]) -> Self {
         let mut hasher = Sha256::new();
@@ -32,24 +32,24 @@
         Self(u64::from_le_bytes(*first))
     }
 
-    /// Of the same as an organisation asks for it, or anybody without a key.
+    /// Returns the fingerprint of this content for an organisation, or for callers without a key.
     #[must_use]
-    pub fn asked_by(self, organisation: Option<&OrganisationId>) -> Self {
+    pub fn for_organisation(self, organisation: Option<&OrganisationId>) -> Self {
         let name = organisation.map_or("", |organisation| organisation.as_str());
         Self(xxh3_64_with_seed(name.as_bytes(), self.0))
     }
 
-    /// As it stands in records: 16 hexadecimal digits.
+    /// Formats the fingerprint as in records: 16 hexadecimal digits.
     #[must_use]
     pub fn hex(self) -> String {
         format!("{:016x}", self.0)
     }
 
-    /// Reads what [`Self::hex`] wrote.
+    /// Parses the output of [`Self::hex`].
     #[must_use]
     pub fn from_hex(text: &str) -> Option<Self> {
-        let is_whole = text.len() == 16 && text.bytes().all(|b| b.is_ascii_hexdigit());
-        let number = u64::from_str_radix(text, 16).ok().filter(|_| is_whole);
+        let is_valid = text.len() == 16 && text.bytes().all(|b| b.is_ascii_hexdigit());
+        let number = u64::from_str_radix(text, 16).ok().filter(|_| is_valid);
         number.map(Self)
     }
 }
--- a/src/gateway/dispatch/record.rs
+++ b/src/gateway/dispatch/record.rs
@@ -1,7 +1,7 @@
 //! Records of decisions, with their inputs and outcomes; each becomes one line of the decision log.
 //!
-//! The names of events and fields are those of the log and stay as they are; where one misleads,
-//! its comment says what the field holds. Keys of callers never stand in a record.
+//! The names of events and fields are part of the log format and stay as they are. Where a name
+//! misleads, the comment says what the field holds. A record never contains a caller's key.
 
 mod sentence;
 
@@ -13,36 +13,36 @@
 use crate::gateway::dispatch::refusal::RefusalReason;
 use crate::schema::EndpointId;
 
-/// The outcome of a fetch that brought all that was asked for.
+/// The outcome of a fetch that returned everything that was requested.
 pub const FETCHED_WHOLE: &str = "whole";
 
-/// The outcome of a fetch from a box that answers as many others as it can.
+/// The outcome of a fetch from a box that already answers as many others as it can.
 pub const FETCH_BUSY: &str = "busy";
 
 /// The state of a process that has just started; its detail is the box's failure domain.
 pub const STARTED: &str = "started";
 
-/// The state of a box that begins to watch the platform's store; its detail tells why.
+/// The state of a box that begins to watch the platform's store; its detail is the reason.
 pub const WATCHES_STORE: &str = "reads_store";
 
-/// The state of a process that wrote the status of a roll-out; its detail tells what came of it.
+/// The state of a process that wrote the status of a roll-out; its detail is the result.
 pub const ROLLOUT_STATUS: &str = "rollout_status";
 
-/// What the list says of an endpoint.
+/// The state of an endpoint in the endpoint list.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum EndpointState {
-    /// It is there.
+    /// It is listed.
     Present,
-    /// It is about to leave.
+    /// It is listed and about to leave.
     Leaving,
-    /// It is not listed any more.
+    /// It is no longer listed.
     Absent,
-    /// Its entry can't be read.
+    /// Its entry can't be parsed.
     Unreadable,
 }
 
 impl EndpointState {
-    /// The endpoint that a change is about, and what it says.
+    /// Returns the endpoint of a change, and its state after the change.
     #[must_use]
     pub fn of(change: &EndpointChange) -> (EndpointId, Self) {
         match change {
@@ -53,7 +53,7 @@
         }
     }
 
-    /// The word for it in the decision log.
+    /// Returns the word for the state in the decision log.
     #[must_use]
     pub fn word(self) -> &'static str {
         match self {
@@ -65,257 +65,258 @@
     }
 }
 
-/// A decision, or a change of what the box believes.
+/// A decision, or a change of the state that the box assumes.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum Record {
     /// A request was admitted.
     Arrived {
-        /// The caller's id.
+        /// The caller's request id.
         request: String,
         /// The route.
         route: String,
-        /// The table's version.
+        /// The version of the routing table.
         table: u64,
-        /// Tokens of the prompt.
+        /// The length of the prompt in tokens.
         prompt: u32,
-        /// What it is known by when it is sent again; empty in logs of earlier versions.
+        /// The fingerprint by which retries are recognised; empty in logs of earlier versions.
         #[serde(default)]
         fingerprint: String,
     },
-    /// An attempt was begun.
+    /// An attempt was started.
     Sent {
-        /// The caller's id.
+        /// The caller's request id.
         request: String,
-        /// Which attempt.
+        /// The number of the attempt.
         attempt: u32,
         /// The endpoint.
         endpoint: String,
-        /// Its service.
+        /// The service of the endpoint.
         service: String,
-        /// The endpoint's failure domain.
+        /// The failure domain of the endpoint.
         domain: String,
-        /// Whether that is the box's own.
+        /// Whether that is the box's own failure domain.
         is_near: bool,
         /// Requests that the endpoint runs at once.
         slots: u32,
-        /// The host of the mirror.
+        /// The endpoint that holds the mirror.
         backup: Option<String>,
-        /// Whether it goes on from a replica, mirror or snapshot.
+        /// Whether the attempt resumes from a replica (mirror or snapshot).
         from_backup: bool,
-        /// The event after which a stream goes on.
+        /// The event after which a stream resumes.
         after_event: Option<u64>,
-        /// Tokens of prompts that wait there for prefill, by this box's count.
+        /// Prompt tokens that wait for prefill at the endpoint, as this box counts them.
         reading: u32,
-        /// Requests that run there by this box's count.
+        /// Requests that run at the endpoint, as this box counts them.
         running: u32,
-        /// Milliseconds that are left.
+        /// Milliseconds until the request's deadline.
         left_ms: u64,
     },
     /// An attempt ended.
     Ended {
-        /// The caller's id.
+        /// The caller's request id.
         request: String,
-        /// Which attempt.
+        /// The number of the attempt.
         attempt: u32,
         /// The endpoint.
         endpoint: String,
-        /// How.
+        /// The outcome of the attempt.
         outcome: Cow<'static, str>,
-        /// The status of the answer, or 0.
+        /// The HTTP status of the answer, or 0.
         status: u16,
-        /// Milliseconds since the attempt began.
+        /// Milliseconds since the attempt started.
         after_ms: u64,
-        /// The last event that was passed on.
+        /// The last event that was passed to the caller.
         last_event: Option<u64>,
     },
-    /// The first event of a stream was passed on.
+    /// The first event of a stream was passed to the caller.
     Begun {
-        /// The caller's id.
+        /// The caller's request id.
         request: String,
         /// The endpoint.
         endpoint: String,
-        /// Milliseconds since the request's arrival.
+        /// Milliseconds since the arrival of the request.
         after_ms: u64,
     },
-    /// A stream goes on at another endpoint: its first event there was passed on.
+    /// A stream resumed at another endpoint, whose first event was passed to the caller.
     Resumed {
-        /// The caller's id.
+        /// The caller's request id.
         request: String,
         /// The endpoint.
         endpoint: String,
-        /// Milliseconds since the event before.
+        /// Milliseconds since the previous event.
         pause_ms: u64,
     },
-    /// An engine took a snapshot, or could not.
+    /// An engine took a snapshot, or failed to.
     Copied {
-        /// The caller's id.
+        /// The caller's request id.
         request: String,
-        /// The endpoint that is to hold it.
+        /// The endpoint that is to hold the snapshot.
         holder: String,
-        /// Whether it was made.
+        /// Whether the snapshot was taken.
         is_made: bool,
         /// Milliseconds that it took.
         after_ms: u64,
     },
-    /// An attempt was left: its endpoint did not answer a probe, or a call took too long.
+    /// An attempt was abandoned, since its endpoint did not answer a probe or a call took too long.
     Suspected {
-        /// The caller's id.
+        /// The caller's request id.
         request: String,
         /// The endpoint.
         endpoint: String,
-        /// Milliseconds since anything of the attempt was heard.
+        /// Milliseconds since anything of the attempt was received.
         silent_ms: u64,
     },
     /// A request was given up.
     Refused {
-        /// The caller's id.
+        /// The caller's request id.
         request: String,
-        /// Why.
+        /// The reason.
         reason: RefusalReason,
-        /// Milliseconds since its arrival.
+        /// Milliseconds since the arrival of the request.
         after_ms: u64,
         /// Attempts that were made.
         attempts: u32,
-        /// The last fault that was met.
+        /// The fault of the last failed attempt.
         fault: Option<Fault>,
     },
     /// A request was answered.
     Answered {
-        /// The caller's id.
+        /// The caller's request id.
         request: String,
-        /// Milliseconds since its arrival.
+        /// Milliseconds since the arrival of the request.
         after_ms: u64,
         /// Attempts that were made.
         attempts: u32,
     },
-    /// The caller left.
+    /// The caller disconnected.
     CallerGone {
-        /// The caller's id.
+        /// The caller's request id.
         request: String,
-        /// Milliseconds since its arrival.
+        /// Milliseconds since the arrival of the request.
         after_ms: u64,
     },
-    /// A table came into force.
+    /// A routing table came into force.
     TableInForce {
-        /// Its version.
+        /// The version of the table.
         version: u64,
     },
-    /// A table was read and checked, whether or not it is newer than the one in force.
+    /// A routing table was read and checked, whether or not it is newer than the one in force.
     TableRead {
-        /// Its version.
+        /// The version of the table.
         version: u64,
-        /// Where it was read: `store`, or the address of a peer.
+        /// The source: `store`, or the address of a peer.
         from: String,
-        /// Bytes of its text.
+        /// Bytes of the table's text.
         bytes: u64,
-        /// Milliseconds that reading its text and checking it took, without the way here.
+        /// Milliseconds for parsing and checking the text, without its transfer.
         check_ms: u64,
-        /// Milliseconds since the store answered the box that read it.
+        /// Milliseconds since the store answered the box that read the table from it.
         age_ms: u64,
-        /// Whether it is newer than what this box knew.
+        /// Whether the table is newer than the newest that this box knew.
         is_newer: bool,
     },
-    /// A peer was asked for its table, and that ended.
+    /// A fetch of a routing table from a peer ended.
     TableFetched {
-        /// The peer's address.
+        /// The address of the peer.
         from: String,
         /// The version that this box had.
         after: u64,
-        /// Bytes that arrived, also where the fetch failed.
+        /// Bytes that arrived, also if the fetch failed.
         bytes: u64,
-        /// Milliseconds since it was asked.
+        /// Milliseconds since the request.
         after_ms: u64,
-        /// `whole`, `busy`, or why it failed.
+        /// `whole`, `busy`, or the reason of the failure.
         outcome: Cow<'static, str>,
     },
-    /// An endpoint joined, changed, or left the list.
+    /// An endpoint joined, changed, or left the endpoint list.
     Endpoint {
         /// The endpoint.
         endpoint: String,
-        /// What is believed of it now.
+        /// The state of the endpoint now.
         state: Cow<'static, str>,
     },
-    /// The list of endpoints has changed, as a peer told it; boxes that watch the store write of each
-    /// endpoint. 295 boxes that all did so wrote 275,000 lines on a calm day.
+    /// The endpoint list has changed, as a peer reported it. Only boxes that watch the store write
+    /// one record for each endpoint: when 295 boxes all did so, they wrote 275,000 lines on a day
+    /// without faults.
     Endpoints {
-        /// The store's revision.
+        /// The revision of the store.
         at: u64,
         /// Endpoints that joined or changed.
         present: usize,
-        /// Those that are about to leave.
+        /// Endpoints that are about to leave.
         leaving: usize,
-        /// Those that left.
+        /// Endpoints that left.
         absent: usize,
-        /// Those whose entries can't be read.
+        /// Endpoints whose entries can't be parsed.
         #[serde(default)]
         unreadable: usize,
     },
-    /// An endpoint has started again under its id.
+    /// An endpoint restarted under the same id.
     Reborn {
         /// The endpoint.
         endpoint: String,
-        /// When its process had started before, in Unix milliseconds.
+        /// The previous start time of its process, in Unix milliseconds.
         before: Option<u64>,
-        /// When it has started now.
+        /// The new start time of its process, in Unix milliseconds.
         born: Option<u64>,
     },
-    /// An endpoint names another limit than before, or none any more.
+    /// An endpoint announced another rate limit than before, or none any more.
     Limited {
         /// The endpoint.
         endpoint: String,
-        /// Requests a second that it takes from all boxes together.
+        /// Requests per second that it accepts from all boxes together.
         per_second: Option<f64>,
     },
-    /// An endpoint ended under a request.
+    /// An endpoint crashed while it ran a request.
     Crashed {
-        /// The caller's id.
+        /// The caller's request id.
         request: String,
-        /// What it is known by when it is sent again.
+        /// The fingerprint by which retries are recognised.
         fingerprint: String,
         /// The endpoint.
         endpoint: String,
-        /// Requests that ran beside it.
+        /// Concurrent requests at the endpoint.
         beside: u32,
-        /// Whether others of the endpoint's failure domain ended at the same time.
+        /// Whether other endpoints of the same failure domain ended at the same time.
         fell_with_domain: bool,
-        /// Crashes that count against the request, with this one.
+        /// Crashes that count against the request, including this one.
         counted: usize,
     },
-    /// A request is sent to no endpoint any more.
+    /// A request was quarantined, so it is no longer sent to any endpoint.
     Quarantined {
-        /// What it is known by when it is sent again.
+        /// The fingerprint by which retries are recognised.
         fingerprint: String,
         /// Crashes that count against it.
         crashes: usize,
     },
-    /// A request that was held back may be sent again.
+    /// The quarantine of a request ended, so it may be sent again.
     Released {
-        /// What it is known by when it is sent again.
+        /// The fingerprint by which retries are recognised.
         fingerprint: String,
     },
-    /// A roll-out has entered a phase.
+    /// A roll-out entered a phase.
     Rollout {
         /// The service.
         service: String,
-        /// The version that it moves to.
+        /// The version that the roll-out moves to.
         target: String,
         /// The phase.
         phase: String,
-        /// Why.
+        /// The reason.
         why: String,
     },
-    /// Something happened to the process or to what it depends on.
+    /// An event of the process or of something that it depends on.
     Process {
-        /// What.
+        /// The kind of event.
         state: Cow<'static, str>,
-        /// Anything else.
+        /// Further detail.
         detail: String,
     },
 }
 
 impl Record {
-    /// The request that it is about.
+    /// Returns the id of the request that the record is about, if any.
     #[must_use]
     pub fn request(&self) -> Option<&str> {
         match self {
--- a/src/gateway/dispatch/record/sentence.rs
+++ b/src/gateway/dispatch/record/sentence.rs
@@ -1,9 +1,9 @@
-//! What a record says, for a person.
+//! Formats records as text for people.
 
 use super::Record;
 
 impl Record {
-    /// What it says, for a person.
+    /// Describes the record in one sentence.
     #[must_use]
     pub fn sentence(&self) -> String {
         match self {
@@ -29,7 +29,7 @@
                 fingerprint,
                 crashes,
             } => format!("{fingerprint} is quarantined, crashes that count: {crashes}"),
-            Self::Released { fingerprint } => format!("{fingerprint} is quarantined no more"),
+            Self::Released { fingerprint } => format!("{fingerprint} is no longer quarantined"),
             Self::Rollout {
                 service,
                 target,
@@ -55,7 +55,7 @@
             ),
             Self::Reborn { endpoint, born, .. } => {
                 format!(
-                    "{endpoint} has started again, born {}",
+                    "{endpoint} has restarted, start time {}",
                     born.unwrap_or_default()
                 )
             }
@@ -63,8 +63,10 @@
                 endpoint,
                 per_second,
             } => match per_second {
-                Some(rate) => format!("{endpoint} takes {rate} requests a second from all boxes"),
-                None => format!("{endpoint} names no limit any more"),
+                Some(rate) => {
+                    format!("{endpoint} accepts {rate} requests per second from all boxes")
+                }
+                None => format!("{endpoint} no longer announces a limit"),
             },
             _ => String::new(),
         }
@@ -82,7 +84,7 @@
                 ..
             } => format!(
                 "table {version} from {from}, {bytes} bytes, checked in {check_ms} ms, \
-                 {age_ms} ms after the store's answer"
+                 {age_ms} ms after the store answered"
             ),
             Self::TableFetched {
                 from,
@@ -91,7 +93,7 @@
                 after_ms,
                 outcome,
             } => format!(
-                "fetch of a table after {after} from {from}: {outcome}, {bytes} bytes in \
+                "fetch of a table newer than {after} from {from}: {outcome}, {bytes} bytes in \
                  {after_ms} ms"
             ),
             _ => String::new(),
@@ -107,7 +109,7 @@
                 fingerprint,
                 ..
             } => format!(
-                "arrived for route {route}, table {table}, prompt of {prompt} tokens, as \
+                "arrived for route {route}, table {table}, prompt of {prompt} tokens, fingerprint \
                  {fingerprint}"
             ),
             Self::Begun {
@@ -119,7 +121,7 @@
             Self::Answered {
                 after_ms, attempts, ..
             } => format!("answered after {after_ms} ms, attempts: {attempts}"),
-            Self::CallerGone { after_ms, .. } => format!("its caller left after {after_ms} ms"),
+            Self::CallerGone { after_ms, .. } => format!("caller disconnected after {after_ms} ms"),
             Self::Refused {
                 reason,
                 after_ms,
@@ -152,7 +154,7 @@
                 endpoint,
                 silent_ms,
                 ..
-            } => format!("left {endpoint} after {silent_ms} ms without a word"),
+            } => format!("abandoned {endpoint} after {silent_ms} ms without any data"),
             Self::Crashed {
                 endpoint,
                 beside,
@@ -161,12 +163,12 @@
                 ..
             } => {
                 let fell = if *fell_with_domain {
-                    ", with its domain"
+                    ", together with others of its failure domain"
                 } else {
                     ""
                 };
                 format!(
-                    "{endpoint} ended under it{fell}; beside it ran: {beside}, crashes that count: {counted}"
+                    "{endpoint} crashed while running it{fell}; concurrent requests: {beside}, crashes that count: {counted}"
                 )
             }
             _ => String::new(),
--- a/src/gateway/dispatch/request.rs
+++ b/src/gateway/dispatch/request.rs
@@ -119,7 +119,7 @@
         let timeout = arrival.timeout.unwrap_or(route.timeout);
         let organisation = key_owner.as_ref().map(|owner| &owner.organisation);
         Self {
-            fingerprint: arrival.content.asked_by(organisation),
+            fingerprint: arrival.content.for_organisation(organisation),
             deadline: now.after(timeout.min(route.timeout)),
             arrived: now,
             last_event: arrival.after_event,
--- a/tests/crash_checks.rs
+++ b/tests/crash_checks.rs
@@ -134,7 +134,7 @@
 
 /// The request that the keys of the world's only organisation make of a content.
 fn fingerprint(content: u64) -> Fingerprint {
-    Fingerprint(content).asked_by(Some(&"shop".parse().unwrap()))
+    Fingerprint(content).for_organisation(Some(&"shop".parse().unwrap()))
 }
 
 #[test]
--- a/tests/fingerprint.rs
+++ b/tests/fingerprint.rs
@@ -11,7 +11,10 @@
 fn a_request_that_is_sent_again_has_the_same_fingerprint() {
     let first = Fingerprint::of_content("POST", "h.example", "/settle/4?x=1", b"statement");
     let again = Fingerprint::of_content("POST", "h.example", "/settle/4?x=1", b"statement");
-    assert_eq!(first.asked_by(Some(&shop())), again.asked_by(Some(&shop())));
+    assert_eq!(
+        first.for_organisation(Some(&shop())),
+        again.for_organisation(Some(&shop()))
+    );
 }
 
 #[rstest]
@@ -36,9 +39,9 @@
     let content = Fingerprint::of_content("GET", "h.example", "/balance", b"");
     let bakery: OrganisationId = "bakery".parse().unwrap();
     let asked = [
-        content.asked_by(Some(&shop())),
-        content.asked_by(Some(&bakery)),
-        content.asked_by(None),
+        content.for_organisation(Some(&shop())),
+        content.for_organisation(Some(&bakery)),
+        content.for_organisation(None),
     ];
     assert_ne!(asked[0], asked[1]);
     assert_ne!(asked[0], asked[2]);
--- a/tests/quarantine.rs
+++ b/tests/quarantine.rs
@@ -18,9 +18,9 @@
 
 /// Notes a crash, and decides about it; returns whether the request is quarantined by it.
 fn note(quarantine: &mut Quarantine, request: Fingerprint, crash: &Crash) -> bool {
-    let decided = crash.at.after(EVALUATION_DELAY);
+    let evaluated_at = crash.at.after(EVALUATION_DELAY);
     quarantine.on_crash(request, crash.clone(), crash.at);
-    quarantine.evaluate(decided).contains(&request)
+    quarantine.evaluate(evaluated_at).contains(&request)
 }
 
 /// The end of the engine of a number, with nothing beside.
