--- a/lab/src/gateway/rollout/fleet/store.rs
+++ b/lab/src/gateway/rollout/fleet/store.rs
@@ -89,7 +89,7 @@
         }
         let event = Event::Rollouts {
             objects: self.object.clone().into_iter().collect(),
-            gone: Vec::new(),
+            removed: Vec::new(),
             is_whole: true,
         };
         self.handle(at, event);
--- a/src/gateway/dispatch.rs
+++ b/src/gateway/dispatch.rs
@@ -1,33 +1,34 @@
-//! The decisions of a gateway box: a state machine without sockets, clocks or threads.
+//! Decisions of a gateway box: a state machine without sockets, clocks or threads.
 //!
 //! [`Dispatcher::handle`] takes an event with the time at which it happened and returns the actions
-//! that follow. Each try of a caller has an id of its own and reaches one box, so that box alone
-//! answers for it: nothing has to be agreed with other boxes before it runs. A caller whose box
-//! died comes back with the last event that it got, and any box goes on from there.
+//! that follow. Each try of a caller has its own id and reaches one box, and that box alone is
+//! responsible for it, so nothing has to be agreed with other boxes before the request runs. A
+//! caller whose box has exited reconnects with the id of the last event that it received, and any
+//! box continues from there.
 //!
-//! | question | module |
+//! | subject | module |
 //! |---|---|
 //! | which tries of callers are the same request | `fingerprint` |
-//! | which requests are admitted, which refused at once | [`admission`] |
-//! | where an attempt is made | [`placement`], its costs in [`placement::costs`] |
-//! | how an attempt is begun and counted, how long a request waits for an endpoint | [`attempts`] |
-//! | when a request is tried again, how often | [`retry`], at whose cost: [`retry_budget`] |
-//! | when it is given up, why, and when its caller may come back | [`refusal`] |
-//! | when an endpoint is suspected | [`suspicion`], avoided and trusted again: `fleet::losses` |
-//! | what follows from a table or a list that was read | `intake` |
-//! | which requests crash their endpoints and are held back | [`quarantine`], made sure of: `crashes` |
-//! | how long streams take, which a stop must leave them | [`stream_time`] |
-//! | what follows when an endpoint starts again under its id | [`endpoint_restart`], `fleet::incarnations` |
-//! | how much goes to endpoints that name a limit, and from which box | [`permits`], [`fleet::limits`] |
-//! | where replicas of KV memory lie | [`replicas`] |
-//! | which engine keeps the prompt of a caller that comes back | [`prompt_search`] |
-//! | what runs at endpoints | [`fleet::usage`] |
-//! | which boxes watch the store | [`store_watchers`] |
-//! | what boxes tell each other | [`gossip`], [`peers`] |
-//! | how a service moves to another version | [`rollout`], carried out by [`rollouts`] |
-//! | who runs | [`roster`] |
-//! | from whom a newer table or list is fetched | [`fetches`] |
-//! | when the box is ready | [`readiness`] |
+//! | admission of requests, and immediate refusal | [`admission`] |
+//! | choice of the endpoint of an attempt | [`placement`], costs in [`placement::costs`] |
+//! | start and count of attempts, how long a request waits for an endpoint | [`attempts`] |
+//! | when and how often a request is retried | [`retry`], budget in [`retry_budget`] |
+//! | when a request is given up, the reason, and when its caller may retry | [`refusal`] |
+//! | suspicion of endpoints | [`suspicion`]; avoidance and return to use: `fleet::losses` |
+//! | effects of a table or an endpoint list that was read | `intake` |
+//! | quarantine of requests that crash their endpoints | [`quarantine`]; confirmation of crashes: `crashes` |
+//! | duration of streams, for which a stop must leave time | [`stream_time`] |
+//! | effects of an endpoint that restarts under its id | [`endpoint_restart`], `fleet::incarnations` |
+//! | load of endpoints that state a limit, and its division among boxes | [`permits`], [`fleet::limits`] |
+//! | location of replicas of KV memory | [`replicas`] |
+//! | search for the engine that keeps the prompt of a caller that reconnects | [`prompt_search`] |
+//! | work in progress at endpoints | [`fleet::usage`] |
+//! | selection of the boxes that watch the store | [`store_watchers`] |
+//! | gossip between boxes | [`gossip`], [`peers`] |
+//! | change of a service to another version | [`rollout`], executed by [`rollouts`] |
+//! | running boxes | [`roster`] |
+//! | choice of the peer to fetch a newer table or list from | [`fetches`] |
+//! | readiness of the box | [`readiness`] |
 
 pub mod action;
 mod duties;
@@ -97,51 +98,52 @@
 use stream_time::StreamTime;
 use table::{RoutingTable, TableVersion};
 
-/// How often a box with work checks its requests: a part of the shortest pause that is acted on
-/// (200 ms).
+/// Interval at which a box with requests checks them: a fraction of the shortest delay that is
+/// acted on (200 ms).
 const TICK: Duration = Duration::from_millis(25);
 
-/// The least time without any event that tells of a standstill: a box that runs has a tick each 300
-/// ms.
+/// Minimum time without any event that counts as a process pause: a running box has a tick every
+/// 300 ms.
 const MIN_PROCESS_PAUSE: Duration = Duration::from_secs(1);
-/// Microseconds of an incarnation for each beat: boxes tell others less often than that, so a later
-/// life begins with a greater beat than an earlier one had in the end.
+/// Microseconds of an incarnation for each step of the heartbeat counter. Boxes send fewer messages
+/// than this, so a later incarnation begins with a greater counter than an earlier one ended with.
 const MICROS_PER_HEARTBEAT: u64 = 10_000;
 
-/// What a dispatcher is made from.
+/// Configuration of a dispatcher.
 #[derive(Clone, Debug)]
 pub struct DispatchConfig {
-    /// This box.
+    /// Id of this box, unique in the fleet.
     pub me: BoxId,
-    /// Its life.
+    /// Incarnation of this process; later ones of the same box are greater.
     pub incarnation: Incarnation,
-    /// Its failure domain.
+    /// Failure domain in which this box runs.
     pub domain: DomainId,
-    /// Where its peers reach it.
+    /// Address at which peers reach this box.
     pub address: SocketAddr,
-    /// Boxes to speak to first.
+    /// Boxes to which the first gossip is sent.
     pub seeds: Vec<SocketAddr>,
     /// Whether the fleet starts for the first time, so that no caller can have lost a box before.
     pub first_start: bool,
-    /// Time between messages to peers.
+    /// Interval between gossip messages.
     pub gossip: Duration,
-    /// How many boxes share the retry budget at least.
+    /// Minimum number of boxes among which the retry budget is divided.
     pub fleet_boxes: usize,
-    /// How retries are bounded.
+    /// Bounds on retries.
     pub retries: RetryPolicy,
-    /// What a version may get before its order's time is over.
+    /// Limit on the requests that a version may get before the time of its roll-out order has
+    /// passed.
     pub exposure: ExposureLimit,
-    /// How usage is reported, if it is.
+    /// Policy of usage reports; `None` if usage is not reported.
     pub duty: Option<DutyPolicy>,
 }
 
-/// The beat with which a life begins.
+/// Heartbeat counter at the start of an incarnation.
 fn first_heartbeat(incarnation: Incarnation) -> u64 {
     incarnation.0 / MICROS_PER_HEARTBEAT
 }
 
-/// The duty that a box takes part in, if it is asked for.
-fn duty_of(cfg: &DispatchConfig) -> Option<UsageDuty> {
+/// Usage duty of this box, if the settings have one.
+fn usage_duty(cfg: &DispatchConfig) -> Option<UsageDuty> {
     let me = Holder {
         id: cfg.me.clone(),
         incarnation: cfg.incarnation,
@@ -150,7 +152,7 @@
     cfg.duty.map(|policy| UsageDuty::new(me, policy))
 }
 
-/// The decisions of one box.
+/// Decision state of one box.
 #[derive(Debug)]
 pub struct Dispatcher {
     cfg: DispatchConfig,
@@ -166,7 +168,7 @@
     table_fetches: Fetches,
     endpoint_fetches: Fetches,
     store_watchers: StoreWatchers,
-    endpoints_at: u64,
+    endpoints_revision: u64,
     started: Micros,
     heartbeat: u64,
     next_gossip: Micros,
@@ -187,7 +189,8 @@
 }
 
 impl Dispatcher {
-    /// Makes a dispatcher that knows nothing yet; `seed` determines its random choices.
+    /// Creates a dispatcher without table, endpoints or peers; `seed` determines its random
+    /// choices.
     #[must_use]
     pub fn new(cfg: DispatchConfig, seed: u64, now: Micros) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
@@ -212,7 +215,7 @@
             rng,
             table_fetches: Fetches::new(FetchKind::Table),
             endpoint_fetches: Fetches::new(FetchKind::Endpoints),
-            endpoints_at: 0,
+            endpoints_revision: 0,
             started: now,
             heartbeat: first_heartbeat(cfg.incarnation),
             next_gossip: now,
@@ -226,7 +229,7 @@
             quarantine: Quarantine::default(),
             pending_crashes: PendingCrashes::default(),
             has_requested_quarantine: cfg.first_start,
-            duty: duty_of(&cfg),
+            duty: usage_duty(&cfg),
             duty_clock: DutyClock::new(now),
             permits: Permits::default(),
             actions: Vec::new(),
@@ -234,9 +237,10 @@
         }
     }
 
-    /// Takes in an event that happened at `now`, which must not run backwards.
+    /// Processes an event that happened at `now` and returns the actions that follow. `now` must
+    /// not run backwards.
     pub fn handle(&mut self, now: Micros, event: Event) -> Vec<Action> {
-        self.note_process_pause(now);
+        self.detect_process_pause(now);
         self.now = now.max(self.now);
         match event {
             Event::Arrived { request, arrival } => self.on_arrival(request, arrival),
@@ -245,7 +249,7 @@
             | Event::StreamOpened { .. }
             | Event::LimitNamed { .. }
             | Event::Progress { .. }
-            | Event::Ended { .. } => self.handle_attempt(event),
+            | Event::Ended { .. } => self.handle_attempt_event(event),
             Event::Tick => self.on_tick(),
             Event::Stop { grace } => self.stop_deadline = Some(self.now.after(grace)),
             Event::Table(_)
@@ -261,7 +265,7 @@
             | Event::PeerHolder(_)
             | Event::PeerLimits(_)
             | Event::Fetched { .. }
-            | Event::Seeds(_) => self.handle_news(event),
+            | Event::Seeds(_) => self.handle_update(event),
             Event::TimeOfDay(day) => self.on_time_of_day(day),
             Event::DutyAnswered { call, answer } => self.on_duty_answered(call, answer),
             Event::UsageReported { window, outcome } => self.on_usage_reported(window, outcome),
@@ -270,13 +274,13 @@
             | Event::IdentityReported { .. }
             | Event::Identified(_)
             | Event::Located { .. }
-            | Event::SnapshotTaken { .. } => self.handle_answer(event),
+            | Event::SnapshotTaken { .. } => self.handle_endpoint_answer(event),
         }
         std::mem::take(&mut self.actions)
     }
 
-    /// What the tasks of requests tell.
-    fn handle_attempt(&mut self, event: Event) {
+    /// Handles events from the tasks of requests.
+    fn handle_attempt_event(&mut self, event: Event) {
         match event {
             Event::CallerDisconnected(request) => self.on_caller_disconnected(request),
             Event::Connected { request, attempt } => self.on_connected(request, attempt),
@@ -300,8 +304,8 @@
         }
     }
 
-    /// What the store, peers and the settings tell.
-    fn handle_news(&mut self, event: Event) {
+    /// Handles events from the store, peers and the settings.
+    fn handle_update(&mut self, event: Event) {
         match event {
             Event::Table(table) => self.on_table(table),
             Event::EndpointsListed {
@@ -312,22 +316,19 @@
             Event::EndpointsChanged { changes, at } => self.on_changed(changes, at),
             Event::Rollouts {
                 objects,
-                gone,
+                removed,
                 is_whole,
-            } => self.on_rollouts(objects, &gone, is_whole),
+            } => self.on_rollouts(objects, &removed, is_whole),
             Event::QuarantineRead(kept) => self.on_quarantine_read(&kept),
             Event::StoreAnswered => {
                 self.store_watchers.on_answer(self.cfg.address, self.now);
             }
             Event::Peer(state) => self.on_peer(&state),
-            Event::PeerUsage(news) => self.on_peer_usage(&news),
-            Event::PeerCrashes {
-                domain,
-                update: news,
-            } => self.on_peer_crashes(domain.as_ref(), &news),
-            Event::PeerUsageCounts(news) => self.on_peer_usage_counts(&news),
+            Event::PeerUsage(update) => self.on_peer_usage(&update),
+            Event::PeerCrashes { domain, update } => self.on_peer_crashes(domain.as_ref(), &update),
+            Event::PeerUsageCounts(update) => self.on_peer_usage_counts(&update),
             Event::PeerHolder(holder) => self.on_peer_holder(&holder),
-            Event::PeerLimits(news) => self.on_peer_limits(&news),
+            Event::PeerLimits(update) => self.on_peer_limits(&update),
             Event::Fetched {
                 kind,
                 from,
@@ -338,8 +339,8 @@
         }
     }
 
-    /// What endpoints answer beside requests.
-    fn handle_answer(&mut self, event: Event) {
+    /// Handles answers of endpoints to anything but a caller's request.
+    fn handle_endpoint_answer(&mut self, event: Event) {
         match event {
             Event::Probed {
                 endpoint,
@@ -367,9 +368,9 @@
         }
     }
 
-    /// Notes a time in which this box stood still: it could hear nobody, so what it knows of other
-    /// boxes is as it was.
-    fn note_process_pause(&mut self, now: Micros) {
+    /// Detects a process pause. No message could be received in it, so the age of what is known of
+    /// other boxes must not grow by it.
+    fn detect_process_pause(&mut self, now: Micros) {
         let time = now.since(self.now);
         if time >= MIN_PROCESS_PAUSE {
             self.peers.on_process_pause(time);
@@ -378,7 +379,7 @@
         }
     }
 
-    /// When [`Event::Tick`] is due next.
+    /// Time at which [`Event::Tick`] is due next.
     #[must_use]
     pub fn next_tick(&self) -> Micros {
         let first_decision = self
@@ -401,25 +402,26 @@
         self.now.after(TICK).min(due)
     }
 
-    /// The table in force.
+    /// Routing table in force; `None` until the first one is read.
     #[must_use]
     pub fn table(&self) -> Option<&Arc<RoutingTable>> {
         self.table.as_ref()
     }
 
-    /// The version in force, 0 if there is none.
+    /// Version of the table in force, 0 if there is none.
     #[must_use]
     pub fn table_version(&self) -> TableVersion {
         self.table.as_ref().map(|t| t.version()).unwrap_or_default()
     }
 
-    /// How many requests are served.
+    /// Number of requests in progress, queued ones included.
     #[must_use]
     pub fn active(&self) -> usize {
         self.requests.len() + self.queued.len()
     }
 
-    /// How many boxes run, as far as this one knows and with it: in its failure domain, and in all.
+    /// Number of running boxes as far as this one knows, itself included: in its failure domain,
+    /// and in all domains.
     #[must_use]
     pub fn known_boxes(&self) -> (usize, usize) {
         let roster = self.peers.roster();
@@ -427,19 +429,19 @@
         (local, local + roster.boxes_in_other_domains())
     }
 
-    /// The roll-outs that this box knows of.
+    /// Roll-outs known to this box.
     #[must_use]
     pub fn rollouts(&self) -> &Rollouts {
         &self.rollouts
     }
 
-    /// Which requests crash their endpoints.
+    /// State of the quarantine of requests that crash their endpoints.
     #[must_use]
     pub fn quarantine(&self) -> &Quarantine {
         &self.quarantine
     }
 
-    /// What is believed of the endpoints.
+    /// Estimated state of the endpoints.
     #[must_use]
     pub fn fleet(&self) -> &Fleet {
         &self.fleet
@@ -458,7 +460,7 @@
         self.maintain_limits();
         self.check_requests();
         self.refuse_queued();
-        self.check_reach();
+        self.check_connectivity();
         self.request_identities();
         if let Some(is_watching) = {
             let roster = self.peers.roster();
@@ -485,7 +487,7 @@
         self.gossip_if_due();
     }
 
-    /// The request of an attempt, if that attempt is the active one.
+    /// Request of an attempt, if that attempt is the active one.
     fn with_active(
         &mut self,
         request: RequestNumber,
--- a/src/gateway/dispatch/action.rs
+++ b/src/gateway/dispatch/action.rs
@@ -1,4 +1,4 @@
-//! What a dispatcher wants done.
+//! Actions that a dispatcher returns for execution.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,196 +16,195 @@
     OrganisationId, StateRequest, UsageCountUpdate, UsageUpdate,
 };
 
-/// One attempt of a request at an endpoint.
+/// Attempt of a request at an endpoint.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Attempt {
-    /// Which one.
+    /// Number of the attempt within its request.
     pub attempt: AttemptNumber,
-    /// The endpoint.
+    /// Endpoint that runs the attempt.
     pub endpoint: EndpointId,
-    /// Its address.
+    /// Address of the endpoint.
     pub address: SocketAddr,
-    /// How much time is left for the answer.
+    /// Time left for the answer.
     pub time_left: Duration,
-    /// The organisation that the request belongs to.
+    /// Organisation to which the request belongs, if known.
     pub organisation: Option<OrganisationId>,
-    /// The event after which the stream goes on.
+    /// Id of the event after which the stream continues, if the caller has events already.
     pub after_event: Option<u64>,
-    /// The host of the mirror: where the engine copies its KV memory as it grows.
+    /// Host of the mirror, to which the engine copies its KV memory as it grows.
     pub mirror_to: Option<SocketAddr>,
-    /// The replica that this attempt goes on from.
+    /// Replica from which this attempt continues.
     pub resume_from: Option<ReplicaLocation>,
-    /// How long to wait for a connection.
+    /// Time limit for the connection.
     pub connect_timeout: Duration,
-    /// How long a connection that is used again may have rested.
+    /// Maximum idle time of a connection that is reused.
     pub max_idle: Duration,
-    /// Whether the dispatcher is to be told when the request goes out on a connection.
+    /// Whether [`super::event::Event::Connected`] is to be sent when the request goes out.
     pub reports_connection: bool,
-    /// Whether the endpoint names a limit, so that the dispatcher is to be told if its answer does
-    /// not.
+    /// Whether the endpoint has stated a limit, so that an answer without one is to be reported.
     pub is_limited: bool,
 }
 
-/// What the task of a request is told.
+/// Instruction to the task of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
     /// Send the request to an endpoint.
     Send(Box<Attempt>),
     /// Close the connection of an attempt.
     StopAttempt(AttemptNumber),
-    /// Pass on the answer that is held; the request is over.
+    /// Pass on the buffered answer; the request ends.
     Deliver,
-    /// End the stream as complete; the request is over.
+    /// End the stream as complete; the request ends.
     Finish,
-    /// Tell the caller that there will be no answer, or break off a stream that has begun.
+    /// Refuse the request, or break off a stream that has begun.
     Refuse(Refusal),
 }
 
-/// A snapshot that an engine is to take of an attempt's KV memory.
+/// Request to an engine for a snapshot of an attempt's KV memory.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SnapshotRequest {
-    /// The request.
+    /// Number of the request on this box.
     pub request: RequestNumber,
-    /// The attempt.
+    /// Attempt of which the snapshot is taken.
     pub attempt: AttemptNumber,
-    /// The caller's id, by which the engine knows the attempt.
+    /// Id that the caller gave the request, by which the engine knows the attempt.
     pub run: String,
-    /// The engine's address.
+    /// Address of the engine.
     pub engine: SocketAddr,
-    /// The endpoint that is to hold the snapshot.
+    /// Endpoint that is to hold the snapshot.
     pub host: EndpointId,
-    /// The host's address.
+    /// Address of the host.
     pub to: SocketAddr,
-    /// How long to wait.
+    /// Time limit for the answer.
     pub limit: Duration,
 }
 
-/// Something a dispatcher wants done.
+/// Output of a dispatcher.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Have the task of a request do something.
+    /// Give an instruction to the task of a request.
     Command {
-        /// The request.
+        /// Number of the request on this box.
         request: RequestNumber,
-        /// What.
+        /// Instruction for the task.
         command: Command,
     },
-    /// Ask an endpoint for its load report, to see whether it answers.
+    /// Request an endpoint's load report, to find out whether it answers.
     Probe {
-        /// The endpoint.
+        /// Endpoint that is probed.
         endpoint: EndpointId,
-        /// Its address.
+        /// Address of the endpoint.
         address: SocketAddr,
-        /// How long to wait.
+        /// Time limit for the answer.
         limit: Duration,
     },
-    /// Make a connection to an endpoint, to see whether it has ended.
+    /// Connect to an endpoint, to find out whether its process has exited.
     CheckExited {
-        /// The endpoint, in the life that is in question.
+        /// Incarnation of the endpoint that is checked.
         endpoint: EndpointIncarnation,
-        /// Its address.
+        /// Address of the endpoint.
         address: SocketAddr,
-        /// How long to wait.
+        /// Time limit for the answer.
         limit: Duration,
     },
     /// Ask engines which of them keeps a part of a prompt.
     Locate {
-        /// The request.
+        /// Number of the request on this box.
         request: RequestNumber,
-        /// The part.
+        /// Id of the part of the prompt.
         part: String,
-        /// Whom to ask.
+        /// Engines that are asked.
         among: Vec<(EndpointId, SocketAddr)>,
     },
-    /// Have an engine take a snapshot of an attempt, which goes on meanwhile.
+    /// Request a snapshot of an attempt from its engine; the attempt continues.
     TakeSnapshot(SnapshotRequest),
-    /// Have an engine drop a snapshot that is not needed any more.
+    /// Tell an engine to drop a snapshot that is not needed any more.
     DropSnapshot {
-        /// The engine's address.
+        /// Address of the engine.
         engine: SocketAddr,
-        /// The snapshot.
+        /// Name of the snapshot.
         name: SnapshotName,
     },
-    /// Ask what has an endpoint's address who it is.
+    /// Request the identity of the process at an endpoint's address.
     RequestIdentity {
-        /// The endpoint that had the address.
+        /// Entry of the endpoint to which the address belonged.
         spec: EndpointSpec,
-        /// Where that is asked.
+        /// Path of the identity request.
         path: String,
     },
-    /// Find out whether what has an address now is a model engine.
+    /// Find out whether the process at an address is a model engine.
     Identify(EndpointSpec),
-    /// Close connections at rest to an address: what listens there has started again.
+    /// Close idle connections to an address, whose process has restarted.
     CloseIdleConnections(SocketAddr),
-    /// Begin or cease to watch the platform's store.
+    /// Start or stop watching the platform's store.
     WatchStore(bool),
-    /// Begin or cease to watch the store's objects that order roll-outs.
+    /// Start or stop watching the store's roll-out orders.
     WatchRollouts(bool),
-    /// Write the status of such an object.
+    /// Write the status of a roll-out order.
     WriteRollout(StatusWrite),
-    /// Read from the platform's store which requests are quarantined, until that succeeds.
+    /// Read the quarantined requests from the platform's store, with retries until it succeeds.
     ReadQuarantine,
-    /// Have the platform's store keep that a request is quarantined, or is so no more.
+    /// Record in the platform's store whether a request is quarantined.
     SaveQuarantine {
-        /// The request.
+        /// Number of the request on this box.
         request: Fingerprint,
-        /// Whether it is.
+        /// Whether the request is quarantined from now on.
         is_quarantined: bool,
     },
-    /// Send this box's state to other boxes, by UDP.
+    /// Send this box's state to peers by UDP.
     Gossip {
-        /// Their addresses.
+        /// Addresses of the receivers.
         to: Vec<SocketAddr>,
-        /// The state of this box.
+        /// State of this box.
         state: Box<BoxState>,
-        /// What it knows of requests that crash endpoints.
+        /// Reports and verdicts on requests that crash endpoints.
         crashes: CrashUpdate,
-        /// Who holds the duty to report usage, as it knows.
+        /// Holder of the duty to report usage, as far as this box knows.
         holder: Option<DutyHolder>,
     },
-    /// Tell other boxes of the attempts that this one has just made, by UDP.
+    /// Publish the usage of attempts that have just begun or ended to peers by UDP.
     GossipUsage {
-        /// Their addresses.
+        /// Addresses of the receivers.
         to: Vec<SocketAddr>,
-        /// What runs there now.
+        /// Current usage of the endpoints concerned.
         update: UsageUpdate,
-        /// What it knows of requests that crash endpoints.
+        /// Reports and verdicts on requests that crash endpoints.
         crashes: CrashUpdate,
     },
-    /// Tell boxes that may hold the duty how many requests began here, by UDP.
+    /// Send the number of requests that began here to the boxes that may hold the duty, by UDP.
     PublishUsageCounts {
-        /// Their addresses.
+        /// Addresses of the receivers.
         to: Vec<SocketAddr>,
-        /// What began.
+        /// Counts of requests that began.
         update: UsageCountUpdate,
     },
-    /// Tell other boxes of endpoints that name limits, ask them for permits or grant some, by UDP.
+    /// Send peers the limits of endpoints, permit requests and granted permits by UDP.
     PublishLimits {
-        /// Their addresses.
+        /// Addresses of the receivers.
         to: Vec<SocketAddr>,
-        /// What is told, asked and granted.
+        /// Limits, permit requests and granted permits.
         update: LimitUpdate,
     },
-    /// Call the store for a duty.
+    /// Make a store call that a duty needs.
     CallDutyStore(StoreCall),
     /// Report the usage of a window.
     ReportUsage {
-        /// The fencing token.
+        /// Fencing token of the duty's lease.
         token: u64,
-        /// The window and its counts.
+        /// Window with its final counts.
         window: SettledWindow,
     },
-    /// Ask another box for what it read from the platform.
+    /// Request a peer's copy of the platform's data.
     FetchState {
-        /// Its address.
+        /// Address of the peer.
         from: SocketAddr,
-        /// What it is asked for.
+        /// Kind of data that is requested.
         kind: FetchKind,
-        /// What is wanted of that.
+        /// Versions after which data is wanted.
         wanted: StateRequest,
     },
-    /// Read the table from the platform's store once, whether or not this box watches it.
+    /// Read the table from the platform's store once, whether or not this box watches the store.
     ReadTable,
-    /// Write a line of the decision log.
+    /// Write a line to the decision log.
     Record(Record),
 }
--- a/src/gateway/dispatch/event.rs
+++ b/src/gateway/dispatch/event.rs
@@ -1,4 +1,4 @@
-//! What can happen to a dispatcher: events from callers, endpoints, the store, peers and the clock.
+//! Events that a dispatcher handles: from callers, endpoints, the store, peers and the clock.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -18,7 +18,7 @@
     LimitUpdate, RequestAge, ServiceId, StartTime, UsageCountUpdate, UsageUpdate, VersionId,
 };
 
-/// A request as this box numbers it.
+/// Number that this box has given a request.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct RequestNumber(pub u64);
 
@@ -28,7 +28,7 @@
     }
 }
 
-/// One attempt of a request, counted from 1.
+/// Number of an attempt within its request, from 1.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct AttemptNumber(pub u32);
 
@@ -48,7 +48,7 @@
     }
 }
 
-/// The name of a snapshot, as the engine that took it gave it.
+/// Name of a snapshot, given by the engine that took it.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct SnapshotName(pub String);
 
@@ -58,56 +58,56 @@
     }
 }
 
-/// What decisions need to know of a caller's request.
+/// Properties of a caller's request that decisions depend on.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Arrival {
-    /// The caller's id of this request; another try of the caller has another one.
+    /// Id that the caller gave this try; each try has its own.
     pub id: String,
-    /// The host that was asked.
+    /// Host that the request names.
     pub host: String,
-    /// The path without the query.
+    /// Path without the query.
     pub path: String,
-    /// The caller's key.
+    /// Key that the caller sent, if any.
     pub key: Option<String>,
-    /// How long the caller waits, from its arrival on.
+    /// Time that the caller waits, counted from the arrival of the request.
     pub timeout: Option<Duration>,
-    /// The event after which the caller wants a stream to go on.
+    /// Id of the event after which the caller wants a stream to continue.
     pub after_event: Option<u64>,
-    /// The parts of the prompt, by ids that engines know them by, in order.
+    /// Ids by which engines know the parts of the prompt, in order.
     pub parts: Vec<String>,
-    /// Tokens of the prompt.
+    /// Length of the prompt.
     pub prompt: Tokens,
-    /// The most tokens that may come out.
+    /// Maximum length of the output.
     pub output: Tokens,
-    /// What is asked for, whoever asks.
+    /// Fingerprint of the content, the same for every caller.
     pub content: Fingerprint,
 }
 
-/// What the list of endpoints says of one of them.
+/// Entry of an endpoint in the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointSpec {
-    /// Its id; a restarted endpoint has another one, or the same with a later birth.
+    /// Id; a restarted endpoint has another one, or the same with a later start time.
     pub id: EndpointId,
-    /// When its process started, if it says so.
+    /// Start time of its process, if known.
     pub born: Option<StartTime>,
-    /// The store's revision at which its entry changed last, 0 where that is not known.
+    /// Store revision at which the entry changed last, 0 if that is not known.
     pub revision: u64,
-    /// The service that it belongs to.
+    /// Service to which the endpoint belongs.
     pub service: ServiceId,
-    /// The version of its software.
+    /// Version of the endpoint's software.
     pub version: VersionId,
-    /// Its address.
+    /// Address at which it serves requests.
     pub address: SocketAddr,
-    /// Its failure domain.
+    /// Failure domain in which it runs.
     pub domain: DomainId,
-    /// Requests that it runs at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Whether it is leaving and takes no new work.
+    /// Whether the endpoint is draining and accepts no new work.
     pub leaving: bool,
 }
 
 impl EndpointSpec {
-    /// The life of the endpoint that this is about.
+    /// Incarnation of the endpoint to which this entry belongs.
     #[must_use]
     pub fn incarnation(&self) -> EndpointIncarnation {
         EndpointIncarnation {
@@ -117,51 +117,51 @@
     }
 }
 
-/// One change of the list of endpoints.
+/// One change of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EndpointChange {
-    /// The endpoint is there, or has changed.
+    /// The endpoint was added or changed.
     Present(EndpointSpec),
-    /// The endpoint is no longer listed.
+    /// The endpoint was removed from the list.
     Absent(EndpointId),
-    /// Its entry can't be read, so that it names no endpoint to use.
+    /// The entry is invalid, so the endpoint can't be used.
     Unreadable(EndpointId),
 }
 
-/// Why an endpoint did not run a request.
+/// Reason why an endpoint did not run a request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum NotRunCause {
-    /// It has no room, or the time was over.
+    /// The endpoint had no free slot, or the request's time was over.
     NoRoom,
-    /// Another instance has its address: this one, if it said so.
+    /// Another instance uses the endpoint's address; its id, if it gave one.
     OtherInstance(Option<EndpointId>),
 }
 
-/// The least status of an answer that tells of a fault of the endpoint.
+/// Lowest HTTP status that counts as a fault of the endpoint.
 pub const LEAST_ERROR_STATUS: u16 = 500;
 
-/// How an attempt ended.
+/// Result of an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Outcome {
-    /// No byte of the request left this box.
+    /// No byte of the request was sent.
     NotSent,
-    /// The endpoint said that it did not run the request.
+    /// The endpoint reported that it did not run the request.
     NotRun(NotRunCause),
-    /// A whole answer is held, ready to be passed on.
+    /// A complete answer is buffered, ready to be passed on.
     Answered {
-        /// Its status.
+        /// HTTP status of the answer.
         status: u16,
     },
-    /// The stream has ended whole.
+    /// The stream ended after its last event.
     StreamEnded,
-    /// The connection broke off, or what came was no proper answer.
+    /// The connection broke, or the answer was invalid.
     Broken(Fault),
-    /// The dispatcher had it stopped.
+    /// The dispatcher stopped the attempt.
     Stopped,
 }
 
 impl Outcome {
-    /// The word for it in the decision log.
+    /// Name of the result in the decision log.
     #[must_use]
     pub fn word(&self) -> &'static str {
         match self {
@@ -179,199 +179,200 @@
     }
 }
 
-/// What was wrong with an answer, or with its lack.
+/// Fault of an answer, or of a missing one.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, serde::Deserialize, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Fault {
     /// The connection was reset or closed.
     Closed,
-    /// The bytes were no answer.
+    /// The bytes were no valid answer.
     Malformed,
     /// The answer belongs to another request.
     Foreign,
-    /// Nothing came in time.
+    /// Nothing arrived within the time limit.
     Silent,
 }
 
-/// Anything that can happen to a dispatcher.
+/// Input of a dispatcher.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// A caller's request has arrived.
     Arrived {
-        /// Its number.
+        /// Number of the request on this box.
         request: RequestNumber,
-        /// The request.
+        /// Properties of the request.
         arrival: Arrival,
     },
-    /// The caller has gone away.
+    /// The caller disconnected.
     CallerDisconnected(RequestNumber),
-    /// A request goes out on a connection, told where the attempt asks for it.
+    /// A request is being sent on a connection; reported only for attempts with
+    /// `reports_connection`.
     Connected {
-        /// The request.
+        /// Number of the request on this box.
         request: RequestNumber,
-        /// The attempt.
+        /// Attempt that the event is about.
         attempt: AttemptNumber,
     },
-    /// The head of a stream came.
+    /// The head of a stream arrived.
     StreamOpened {
-        /// The request.
+        /// Number of the request on this box.
         request: RequestNumber,
-        /// The attempt.
+        /// Attempt that the event is about.
         attempt: AttemptNumber,
     },
-    /// The head of an answer names a limit of requests a second, or names none though one was in
+    /// The head of an answer states a limit of requests a second, or states none while one was in
     /// force.
     LimitNamed {
-        /// The request.
+        /// Number of the request on this box.
         request: RequestNumber,
-        /// The attempt.
+        /// Attempt that the event is about.
         attempt: AttemptNumber,
-        /// The limit.
+        /// Limit that the answer states, if any.
         limit: Option<RequestRate>,
     },
-    /// Events of a stream came.
+    /// Events of a stream arrived.
     Progress {
-        /// The request.
+        /// Number of the request on this box.
         request: RequestNumber,
-        /// The attempt.
+        /// Attempt that the event is about.
         attempt: AttemptNumber,
-        /// The id of the last event that was passed on.
+        /// Id of the last event that was passed on to the caller.
         last_event: u64,
     },
     /// An attempt ended.
     Ended {
-        /// The request.
+        /// Number of the request on this box.
         request: RequestNumber,
-        /// The attempt.
+        /// Attempt that the event is about.
         attempt: AttemptNumber,
-        /// How.
+        /// Result of the attempt.
         outcome: Outcome,
     },
-    /// An endpoint answered a probe, or didn't.
+    /// A probe of an endpoint was answered, or timed out.
     Probed {
-        /// The endpoint.
+        /// Endpoint that was probed.
         endpoint: EndpointId,
-        /// Whether it answered in time.
+        /// Whether the answer arrived within the time limit.
         is_answered: bool,
-        /// When its process started, if the answer says so.
+        /// Start time of the endpoint's process, if the answer states it.
         born: Option<StartTime>,
     },
-    /// An endpoint was checked whose connection broke.
+    /// An endpoint was checked after a broken connection.
     Checked {
-        /// The endpoint, in the life that was in question.
+        /// Incarnation of the endpoint that was checked.
         endpoint: EndpointIncarnation,
-        /// Whether nothing listens at its address any more.
+        /// Whether nothing listens at the endpoint's address any more.
         has_exited: bool,
     },
-    /// A configuration was read.
+    /// A routing table was read.
     Table(Arc<RoutingTable>),
-    /// The whole list of endpoints was read.
+    /// The complete endpoint list was read.
     EndpointsListed {
-        /// All endpoints whose entries can be read.
+        /// Endpoints with valid entries.
         specs: Vec<EndpointSpec>,
-        /// Those whose entries can't.
+        /// Endpoints with invalid entries.
         unreadable: Vec<EndpointId>,
-        /// The store's revision at which the list changed last.
+        /// Store revision at which the list changed last.
         at: u64,
     },
-    /// The list of endpoints has changed.
+    /// The endpoint list changed.
     EndpointsChanged {
-        /// What has changed.
+        /// Entries that changed.
         changes: Vec<EndpointChange>,
-        /// The store's revision at which it did.
+        /// Store revision of the last of these changes.
         at: u64,
     },
-    /// Objects of the store that order roll-outs were read.
+    /// Roll-out orders were read from the store.
     Rollouts {
-        /// Those that are there, or that have changed.
+        /// Objects that exist or have changed.
         objects: Vec<ObjectState>,
-        /// Services whose object is gone.
-        gone: Vec<ServiceId>,
-        /// Whether they are all there are.
+        /// Services whose object was removed.
+        removed: Vec<ServiceId>,
+        /// Whether `objects` is the complete list.
         is_whole: bool,
     },
-    /// Which requests are quarantined was read from the platform's store.
+    /// The list of quarantined requests was read from the platform's store.
     QuarantineRead(Vec<RequestAge>),
     /// The platform's store answered this box.
     StoreAnswered,
-    /// The time of day, now and then, where a duty asks for it.
+    /// Time of day, sent at intervals to boxes with a duty that needs it.
     TimeOfDay(UnixMillis),
-    /// Another box told how many requests began there.
+    /// A peer reported how many requests began there.
     PeerUsageCounts(UsageCountUpdate),
-    /// Another box told who holds the duty.
+    /// A peer reported the holder of the duty.
     PeerHolder(DutyHolder),
-    /// The store answered a call that a duty made, or did not.
+    /// The store answered a call of a duty, or the call failed.
     DutyAnswered {
-        /// The call's number.
+        /// Number by which the duty knows the call.
         call: u64,
-        /// The answer.
+        /// Answer of the store, or its absence.
         answer: DutyAnswer,
     },
-    /// A report of usage came to its end.
+    /// A usage report ended.
     UsageReported {
-        /// The window.
+        /// Window that was reported.
         window: Window,
-        /// How.
+        /// Result of the report.
         outcome: ReportOutcome,
     },
-    /// Another box sent its state.
+    /// A peer sent its state.
     Peer(BoxState),
-    /// Another box told of the attempts that it has just made.
+    /// A peer reported usage of attempts that it has just begun or ended.
     PeerUsage(UsageUpdate),
-    /// Another box told of requests that crash endpoints.
+    /// A peer reported requests that crash endpoints.
     PeerCrashes {
-        /// Its failure domain, if that is not the own one for sure.
+        /// Failure domain of the peer; `None` if it is certainly the own one.
         domain: Option<DomainId>,
-        /// What it told.
+        /// Reported crashes and verdicts.
         update: CrashUpdate,
     },
-    /// Another box told of endpoints that name limits.
+    /// A peer reported endpoints that state limits.
     PeerLimits(LimitUpdate),
-    /// A fetch from another box has ended, with an answer or without.
+    /// A fetch from a peer ended, with or without an answer.
     Fetched {
-        /// What it was asked for.
+        /// Kind of data that was requested.
         kind: FetchKind,
-        /// Its address.
+        /// Address of the peer.
         from: SocketAddr,
-        /// How that ended.
+        /// Result of the fetch.
         outcome: FetchOutcome,
     },
-    /// The settings name other boxes to speak to first.
+    /// The settings list other seeds.
     Seeds(Vec<SocketAddr>),
-    /// Time has passed.
+    /// A timer fired; see [`super::Dispatcher::next_tick`].
     Tick,
-    /// The process is asked to stop.
+    /// The process was asked to stop.
     Stop {
-        /// How long it may take.
+        /// Time that the stop may take.
         grace: Duration,
     },
-    /// What has an endpoint's address said who it is.
+    /// The process at an endpoint's address reported its identity.
     IdentityReported {
-        /// The endpoint that had the address.
+        /// Endpoint to which the address belonged.
         endpoint: EndpointId,
-        /// Who has it now.
+        /// Endpoint that uses the address now.
         instance: EndpointId,
-        /// When that one's process started, if it says so.
+        /// Start time of that endpoint's process, if it states one.
         born: Option<StartTime>,
     },
-    /// An endpoint that took over an address turned out to be a model engine.
+    /// A process that took over an endpoint's address turned out to be a model engine.
     Identified(EndpointSpec),
-    /// Endpoints were asked which of them keeps a request's prompt.
+    /// Endpoints answered which of them keeps a request's prompt.
     Located {
-        /// The request.
+        /// Number of the request on this box.
         request: RequestNumber,
-        /// The one that keeps it, if any does.
+        /// Endpoint that keeps the prompt, if any does.
         endpoint: Option<EndpointId>,
     },
-    /// An engine was asked for a snapshot of an attempt, and answered or didn't.
+    /// An engine answered a request for a snapshot of an attempt, or failed to.
     SnapshotTaken {
-        /// The request.
+        /// Number of the request on this box.
         request: RequestNumber,
-        /// The attempt.
+        /// Attempt that the event is about.
         attempt: AttemptNumber,
-        /// The endpoint that was to hold it.
+        /// Endpoint that was to hold the snapshot.
         host: EndpointId,
-        /// The snapshot's name, if it was taken.
+        /// Name of the snapshot; `None` if it was not taken.
         name: Option<SnapshotName>,
     },
 }
--- a/src/gateway/dispatch/gossip.rs
+++ b/src/gateway/dispatch/gossip.rs
@@ -180,7 +180,7 @@
             members: self.peers.members_of(domain, &mut self.rng, now),
             peers: self.peers.outside_domain(domain, &mut self.rng, now),
             domains: self.peers.domain_sizes(now),
-            endpoints_at: self.endpoints_at,
+            endpoints_at: self.endpoints_revision,
             readers: self.store_watchers.watchers_of(domain, now),
             rollouts: self.rollouts_for(domain),
         }
@@ -325,7 +325,7 @@
         };
         let (table_after, endpoints_after) = match kind {
             FetchKind::Table => (self.table_version().0, u64::MAX),
-            FetchKind::Endpoints => (u64::MAX, self.endpoints_at),
+            FetchKind::Endpoints => (u64::MAX, self.endpoints_revision),
         };
         let wanted = StateRequest {
             table_after,
--- a/src/gateway/dispatch/intake.rs
+++ b/src/gateway/dispatch/intake.rs
@@ -1,7 +1,7 @@
-//! What follows from a table, or a list of endpoints, that was read from the store or a peer.
+//! Effects of a routing table or an endpoint list that was read from the store or a peer.
 //!
-//! A table comes into force only if its version is greater, so that none ever reverts. Peers are told
-//! of both soon, and requests that waited for them are decided about.
+//! A table comes into force only if its version is greater than that of the current one, so that no
+//! table ever reverts. Peers are notified of both soon, and queued requests are decided again.
 
 use std::sync::Arc;
 
@@ -32,23 +32,24 @@
         unreadable: &[EndpointId],
         at: u64,
     ) {
-        self.note_endpoints(at);
-        let gone = self.fleet.replace(specs, unreadable, self.now);
-        let gone = gone.into_iter().map(|id| (id, EndpointState::Absent));
-        self.record_endpoints(at, &gone.collect::<Vec<_>>());
+        self.record_endpoints_revision(at);
+        let removed = self.fleet.replace(specs, unreadable, self.now);
+        let removed = removed.into_iter().map(|id| (id, EndpointState::Absent));
+        self.record_endpoints(at, &removed.collect::<Vec<_>>());
         self.record_ended_incarnations();
         self.release_queued();
     }
 
     pub(super) fn on_changed(&mut self, changes: Vec<EndpointChange>, at: u64) {
-        self.note_endpoints(at);
+        self.record_endpoints_revision(at);
         let states = changes.iter().map(EndpointState::of);
         self.record_endpoints(at, &states.collect::<Vec<_>>());
         self.fleet.apply_changes(changes, self.now);
         self.record_ended_incarnations();
     }
 
-    /// Records changes of the list: one by one if this box watches the store, else their number.
+    /// Records changes of the endpoint list: one by one if this box watches the store, else only
+    /// their number.
     fn record_endpoints(&mut self, at: u64, changes: &[(EndpointId, EndpointState)]) {
         if self.store_watchers.is_watching() {
             for (id, state) in changes {
@@ -69,10 +70,10 @@
         });
     }
 
-    /// Notes a change of the list of endpoints, and tells peers soon.
-    fn note_endpoints(&mut self, at: u64) {
-        if at > self.endpoints_at {
-            self.endpoints_at = at;
+    /// Records a newer revision of the endpoint list and schedules gossip.
+    fn record_endpoints_revision(&mut self, at: u64) {
+        if at > self.endpoints_revision {
+            self.endpoints_revision = at;
             self.endpoint_fetches.on_progress(at, self.now);
             self.gossip_soon();
         }
--- a/src/gateway/dispatch/readiness.rs
+++ b/src/gateway/dispatch/readiness.rs
@@ -1,28 +1,30 @@
-//! When this box is ready for callers.
+//! Readiness of this box for callers.
 //!
-//! The rule ([`Dispatcher::is_ready`]): it knows a table and the endpoints, is not stopping, and is
-//! not cut off. It is cut off when two things come together, since each alone has other causes: no
-//! endpoint of some service can be connected to and none is in the own failure domain, and no box
-//! of another failure domain was heard for 0.7 s. It is ready again as soon as it hears one. The
-//! platform then sends callers to boxes that can reach the service.
+//! The box is ready ([`Dispatcher::is_ready`]) if it has a table and an endpoint list, is not
+//! stopping, and is not cut off. It is cut off if two conditions hold together, since each alone
+//! has other causes: for some service no endpoint accepts connections and none is in the own
+//! failure domain; and no message from a box of another failure domain arrived for 0.7 s. It is
+//! ready again as soon as such a message arrives. The platform sends callers only to ready boxes,
+//! so they reach boxes that can reach the service.
 //!
-//! Weighed: silence of other domains alone.
+//! Rejected alternative: missing messages of other domains alone.
 
 use super::Dispatcher;
 use super::record::Record;
 
 impl Dispatcher {
-    /// Whether the box can answer callers.
+    /// Whether the box can serve callers.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         let is_configured = self.table.is_some() && self.fleet.is_known();
         is_configured && self.stop_deadline.is_none() && !self.is_cut_off
     }
 
-    /// Notes when this box is cut off from what it needs, and when it no longer is.
-    pub(super) fn check_reach(&mut self) {
-        let is_lost = self.is_cut_off || self.peers.knows_other_domains() && self.lacks_a_service();
-        let is_cut_off = is_lost && !self.peers.has_seen_other_domains(self.now);
+    /// Updates whether this box is cut off, and records a change.
+    pub(super) fn check_connectivity(&mut self) {
+        let lacks_endpoints =
+            self.is_cut_off || self.peers.knows_other_domains() && self.has_unreachable_service();
+        let is_cut_off = lacks_endpoints && !self.peers.has_seen_other_domains(self.now);
         if is_cut_off == self.is_cut_off {
             return;
         }
@@ -34,7 +36,7 @@
         });
     }
 
-    fn lacks_a_service(&self) -> bool {
+    fn has_unreachable_service(&self) -> bool {
         let Some(table) = &self.table else {
             return false;
         };
--- a/src/gateway/shell/rollouts.rs
+++ b/src/gateway/shell/rollouts.rs
@@ -45,7 +45,7 @@
     }
     Event::Rollouts {
         objects,
-        gone,
+        removed: gone,
         // What can't be read may be an order that is known, which goes on.
         is_whole: is_whole && !unreadable,
     }
--- a/tests/gateway/tills.rs
+++ b/tests/gateway/tills.rs
@@ -62,7 +62,7 @@
 pub fn read(world: &mut World, object: ObjectState) -> Vec<Action> {
     world.handle(Event::Rollouts {
         objects: vec![object],
-        gone: Vec::new(),
+        removed: Vec::new(),
         is_whole: true,
     });
     world.actions.clone()
--- a/tests/rollouts.rs
+++ b/tests/rollouts.rs
@@ -32,7 +32,7 @@
     let due = world.dispatcher.next_tick();
     world.handle(Event::Rollouts {
         objects: Vec::new(),
-        gone: Vec::new(),
+        removed: Vec::new(),
         is_whole: true,
     });
     assert!(world.actions.is_empty(), "{:?}", world.actions);
@@ -214,7 +214,7 @@
     read(&mut world, object(order("v2", 12), 10, None));
     world.handle(Event::Rollouts {
         objects: Vec::new(),
-        gone: vec!["till".parse().unwrap()],
+        removed: vec!["till".parse().unwrap()],
         is_whole: false,
     });
     assert_eq!(phase(&world), None);
