--- a/src/gateway/dispatch/replicas.rs
+++ b/src/gateway/dispatch/replicas.rs
@@ -5,9 +5,9 @@
 //! attempt, for as long as that host is up. The host may be lost while the attempt runs; a later
 //! loss of the engine would then cost a whole prefill. So each stream is checked each
 //! [`CHECK_INTERVAL`]: once its mirror is no longer independent of it ([`Independence`]), the
-//! engine is asked for a *snapshot* at a better host, and for a new one each [`SNAPSHOT_INTERVAL`]
-//! so that the snapshot stays recent. The snapshot is dropped when the mirror is independent again,
-//! and when the attempt ends.
+//! engine is asked for a *snapshot* at a better host, and for a new one each
+//! [`REPLICA_SNAPSHOT_INTERVAL`] so that the snapshot stays recent. The snapshot is dropped when the
+//! mirror is independent again, and when the attempt ends.
 //!
 //! After a loss the next attempt resumes from the most independent replica that has not expired and
 //! whose host takes work and is not avoided. All replicas are tried before the prompt is prefilled
@@ -32,7 +32,7 @@
 
 /// Time between two snapshots of an attempt at the same host. 1.5 s made no difference to the score
 /// (0.484 instead of 0.487) and took 34,100 probes instead of 32,700.
-const SNAPSHOT_INTERVAL: Duration = Duration::from_secs(3);
+const REPLICA_SNAPSHOT_INTERVAL: Duration = Duration::from_secs(3);
 /// Delay before another snapshot is requested after one failed.
 const SNAPSHOT_RETRY_DELAY: Duration = Duration::from_millis(500);
 /// Time between two checks of an attempt's replicas.
@@ -70,7 +70,7 @@
     }
 
     /// Requests a snapshot of a stream if a more independent replica is possible or the snapshot is
-    /// older than [`SNAPSHOT_INTERVAL`].
+    /// older than [`REPLICA_SNAPSHOT_INTERVAL`].
     pub(super) fn check_replicas(&mut self, number: RequestNumber) {
         let now = self.now;
         let Some(request) = self.requests.get(&number) else {
@@ -98,7 +98,7 @@
                 if snapshot_independence == Independence::Safe
                     && snapshot_independence > mirror_independence =>
             {
-                let is_old = now.since(snapshot.taken_at) >= SNAPSHOT_INTERVAL;
+                let is_old = now.since(snapshot.taken_at) >= REPLICA_SNAPSHOT_INTERVAL;
                 is_old.then(|| snapshot.host.id.clone())
             }
             _ => self.better_host(
