--- a/src/gateway/dispatch/action.rs
+++ b/src/gateway/dispatch/action.rs
@@ -146,7 +146,7 @@
     ReadQuarantine,
     /// Record in the platform's store whether a request is quarantined.
     SaveQuarantine {
-        /// Number of the request on this box.
+        /// Fingerprint of the request.
         request: Fingerprint,
         /// Whether the request is quarantined from now on.
         is_quarantined: bool,
--- a/src/gateway/dispatch/event.rs
+++ b/src/gateway/dispatch/event.rs
@@ -152,7 +152,7 @@
         /// HTTP status of the answer.
         status: u16,
     },
-    /// The stream ended after its last event.
+    /// The stream completed.
     StreamEnded,
     /// The connection broke, or the answer was invalid.
     Broken(Fault),
--- a/src/gateway/dispatch/fetches.rs
+++ b/src/gateway/dispatch/fetches.rs
@@ -3,10 +3,10 @@
 //! A box that learns of a newer version requests it from one peer that has it. It prefers the
 //! newest version; then peers seen just now, since others may have exited; then the own failure
 //! domain, since traffic between domains is expensive; and takes a random one of equals. A peer
-//! that is busy or has failed is avoided for a while, and another is requested from; if no peer
+//! that is busy or has failed is avoided for a while, and another is tried; if no peer
 //! with the newest version is left, an older one that is still newer than the own will do. One
 //! request of a kind is in progress at a time, until it takes longer than [`FETCH_TIMEOUT`]: then a
-//! second peer is requested from, and the first request continues. A table that no peer has
+//! second peer is tried, and the first request continues. A table that no peer has
 //! delivered within [`STORE_FALLBACK_DELAY`] is read from the store as well, so that a box that
 //! doesn't watch the store has two ways to each change.
 //!
@@ -31,8 +31,8 @@
 
 /// Minimum time between an answered request and the next of its kind, so that changes are batched.
 const MIN_FETCH_INTERVAL: Duration = Duration::from_millis(100);
-/// Delay after a busy or failed peer before another peer is requested from: between the time to
-/// send a packed table of 0.1 MB (0.1 s at 10 Mbit/s) and the time to connect (a few milliseconds).
+/// Delay after a busy or failed peer before another peer is tried: between the time to send a packed
+/// table of 0.1 MB (0.1 s at 10 Mbit/s) and the time to connect (a few milliseconds).
 const FAILURE_BACKOFF: Backoff = Backoff {
     first: Duration::from_millis(20),
     longest: Duration::from_millis(160),
@@ -43,7 +43,7 @@
 const BUSY_PEER_AVOIDED_FOR: Duration = Duration::from_millis(100);
 /// Time for which a failed peer is avoided.
 const FAILED_PEER_AVOIDED_FOR: Duration = Duration::from_secs(2);
-/// Time after which a second peer is requested from while the first request continues.
+/// Time after which a second peer is tried while the first request continues.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(3);
 /// Time after which a table that peers have is read from the store as well: half of the shortest
 /// time in which users require a change to be in force (2 s).
@@ -82,7 +82,7 @@
     /// Address at which the peer serves requests.
     pub address: SocketAddr,
     /// Version of its table, or revision of its endpoint list.
-    pub has: u64,
+    pub version: u64,
     /// Whether a message from it arrived within the last two gossip rounds.
     pub is_fresh: bool,
     /// Whether it is in the own failure domain.
@@ -92,7 +92,7 @@
 /// Order of preference among peers; the first field weighs most.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 struct Rank {
-    has: u64,
+    version: u64,
     is_fresh: bool,
     is_local: bool,
     tie_breaker: u32,
@@ -101,7 +101,7 @@
 impl Rank {
     fn of(holder: &Holder, rng: &mut ChaCha8Rng) -> Self {
         Self {
-            has: holder.has,
+            version: holder.version,
             is_fresh: holder.is_fresh,
             is_local: holder.is_local,
             tie_breaker: rng.random(),
@@ -114,13 +114,13 @@
 pub struct Fetches {
     kind: FetchKind,
     /// Version that this box has.
-    has: u64,
+    version: u64,
     /// Newest version that a peer has reported.
     newest: u64,
     /// Time since which a peer has had a newer version than this box.
     behind_since: Option<Micros>,
     /// Version that this box had at its last request.
-    has_at_request: u64,
+    version_at_request: u64,
     next_request: Micros,
     failures: u32,
     avoided: BTreeMap<SocketAddr, Micros>,
@@ -134,10 +134,10 @@
     pub fn new(kind: FetchKind) -> Self {
         Self {
             kind,
-            has: 0,
+            version: 0,
             newest: 0,
             behind_since: None,
-            has_at_request: 0,
+            version_at_request: 0,
             next_request: Micros::ZERO,
             failures: 0,
             avoided: BTreeMap::new(),
@@ -147,8 +147,8 @@
     }
 
     /// Records the version that a peer has reported.
-    pub fn on_peer_version(&mut self, has: u64, now: Micros) {
-        self.newest = self.newest.max(has);
+    pub fn on_peer_version(&mut self, version: u64, now: Micros) {
+        self.newest = self.newest.max(version);
         if self.is_behind() && self.behind_since.is_none() {
             self.behind_since = Some(now);
             self.next_store_read = now.after(STORE_FALLBACK_DELAY);
@@ -156,11 +156,11 @@
     }
 
     /// Records the version that this box has, whatever its source.
-    pub fn on_progress(&mut self, has: u64, now: Micros) {
-        if has <= self.has {
+    pub fn on_progress(&mut self, version: u64, now: Micros) {
+        if version <= self.version {
             return;
         }
-        self.has = has;
+        self.version = version;
         self.failures = 0;
         self.store_reads = 0;
         self.behind_since = self.is_behind().then_some(now);
@@ -178,7 +178,7 @@
         let avoided_for = match outcome {
             FetchOutcome::Complete => {
                 self.next_request = now.after(MIN_FETCH_INTERVAL);
-                if self.has == self.has_at_request {
+                if self.version == self.version_at_request {
                     // The answer brought nothing newer; no request is made until a peer reports a
                     // newer version again.
                     self.forget_newest();
@@ -194,7 +194,7 @@
     }
 
     /// Chooses the peer to request from now, if any, and records the request.
-    pub fn choose(
+    pub fn choose_holder(
         &mut self,
         holders: impl Iterator<Item = Holder>,
         rng: &mut ChaCha8Rng,
@@ -206,7 +206,7 @@
         self.avoided.retain(|_, until| now < *until);
         let mut has_newer_holder = false;
         let mut best: Option<(Rank, SocketAddr)> = None;
-        for holder in holders.filter(|h| h.has > self.has) {
+        for holder in holders.filter(|h| h.version > self.version) {
             has_newer_holder = true;
             let rank = Rank::of(&holder, rng);
             let is_better = best.is_none_or(|(best, _)| rank > best);
@@ -220,7 +220,7 @@
             return None;
         }
         let pause = if best.is_some() {
-            self.has_at_request = self.has;
+            self.version_at_request = self.version;
             FETCH_TIMEOUT
         } else {
             FAILURE_BACKOFF.pause(self.failures, rng)
@@ -230,7 +230,7 @@
     }
 
     fn forget_newest(&mut self) {
-        self.newest = self.has;
+        self.newest = self.version;
         self.behind_since = None;
     }
 
@@ -256,6 +256,6 @@
     }
 
     fn is_behind(&self) -> bool {
-        self.newest > self.has
+        self.newest > self.version
     }
 }
--- a/src/gateway/dispatch/gossip.rs
+++ b/src/gateway/dispatch/gossip.rs
@@ -132,7 +132,7 @@
             return;
         }
         self.next_gossip = self.now.after(self.gossip_interval());
-        let to = self.peers.choose(&mut self.rng, self.now);
+        let to = self.peers.choose_receivers(&mut self.rng, self.now);
         if !to.is_empty() {
             self.check_allocators();
             self.publish_limits(to.clone());
@@ -320,7 +320,7 @@
             FetchKind::Table => &mut self.table_fetches,
             FetchKind::Endpoints => &mut self.endpoint_fetches,
         };
-        let Some(from) = fetches.choose(holders, &mut self.rng, self.now) else {
+        let Some(from) = fetches.choose_holder(holders, &mut self.rng, self.now) else {
             return;
         };
         let (table_after, endpoints_after) = match kind {
--- a/src/gateway/dispatch/peers.rs
+++ b/src/gateway/dispatch/peers.rs
@@ -57,7 +57,7 @@
     domain: DomainId,
     address: SocketAddr,
     incarnation: u64,
-    beat: u64,
+    heartbeat: u64,
     table_version: u64,
     endpoints_at: u64,
 }
@@ -143,7 +143,7 @@
             domain: state.domain.clone(),
             address,
             incarnation,
-            beat: state.beat,
+            heartbeat: state.beat,
             table_version: state.table_version,
             endpoints_at: state.endpoints_at,
         };
@@ -182,7 +182,7 @@
     pub fn holders(&self, kind: FetchKind, now: Micros) -> impl Iterator<Item = Holder> {
         self.recently_seen(now).map(move |p| Holder {
             address: p.address,
-            has: match kind {
+            version: match kind {
                 FetchKind::Table => p.table_version,
                 FetchKind::Endpoints => p.endpoints_at,
             },
@@ -206,7 +206,7 @@
         let some = of_domain
             .choose_multiple(rng, DOMAIN_PEERS_SENT)
             .into_iter();
-        some.map(|p| running_box(p.address, p.beat)).collect()
+        some.map(|p| running_box(p.address, p.heartbeat)).collect()
     }
 
     /// Up to [`OTHER_DOMAIN_PEERS_SENT`] boxes outside `domain` to list in a message to it.
@@ -327,7 +327,7 @@
     /// Chooses the receivers of one gossip round, mostly in the own failure domain: traffic between
     /// domains is expensive, and usage of endpoints matters most to boxes near them. Expires old
     /// entries first.
-    pub fn choose(&mut self, rng: &mut ChaCha8Rng, now: Micros) -> Vec<SocketAddr> {
+    pub fn choose_receivers(&mut self, rng: &mut ChaCha8Rng, now: Micros) -> Vec<SocketAddr> {
         self.boxes
             .retain(|_, p| now.since(p.last_seen) < ADDRESS_RETENTION);
         self.reported
--- a/src/gateway/dispatch/roster.rs
+++ b/src/gateway/dispatch/roster.rs
@@ -211,10 +211,10 @@
 
 /// Builds the published form of a box.
 #[must_use]
-pub fn running_box(address: SocketAddr, beat: u64) -> RunningBox {
+pub fn running_box(address: SocketAddr, heartbeat: u64) -> RunningBox {
     RunningBox {
         address: pack_address(address),
-        beat,
+        beat: heartbeat,
     }
 }
 
