--- a/src/gateway/dispatch/rollout/evidence.rs
+++ b/src/gateway/dispatch/rollout/evidence.rs
@@ -31,7 +31,7 @@
 /// few from before a version turned bad.
 const RECENT_WINDOW: Duration = Duration::from_secs(4);
 /// Time between two snapshots of the counts.
-const SNAPSHOT_INTERVAL: Duration = Duration::from_millis(500);
+const EVIDENCE_SNAPSHOT_INTERVAL: Duration = Duration::from_millis(500);
 
 /// The kinds of time that are measured.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -349,7 +349,7 @@
         let is_due = self
             .snapshots
             .back()
-            .is_none_or(|(at, _)| now.since(*at) >= SNAPSHOT_INTERVAL);
+            .is_none_or(|(at, _)| now.since(*at) >= EVIDENCE_SNAPSHOT_INTERVAL);
         if is_due {
             self.snapshots.push_back((now, counts));
             let is_old = |(at, _): &(Micros, Counts)| now.since(*at) > RECENT_WINDOW * 2;
