--- a/lab/src/gateway/crashes.rs
+++ b/lab/src/gateway/crashes.rs
@@ -91,7 +91,7 @@
     pub culprits: usize,
     /// When they do.
     pub crash: CrashAt,
-    /// Whether a server is back under its id, with another birth.
+    /// Whether a server is back under its id, with another start time.
     pub keeps_ids: bool,
     /// What goes wrong beside.
     pub beside: Beside,
--- a/lab/src/gateway/crashes/servers.rs
+++ b/lab/src/gateway/crashes/servers.rs
@@ -163,7 +163,7 @@
         server.is_up = true;
         server.busy_until = now;
         if case.keeps_ids {
-            server.spec.born = Some(birth(now));
+            server.spec.born = Some(start_time(now));
         } else {
             let base = server.spec.id.split('.').next().unwrap_or_default();
             server.spec.id = id_of(base, server.starts);
@@ -189,7 +189,7 @@
 }
 
 /// When a process started, by its own clock.
-fn birth(now: Micros) -> StartTime {
+fn start_time(now: Micros) -> StartTime {
     StartTime(1_700_000_000_000 + now.0 / 1_000)
 }
 
@@ -202,7 +202,7 @@
 fn spec(case: &Case, domain: usize, number: usize, start: u32) -> EndpointSpec {
     EndpointSpec {
         id: id_of(&format!("s-{domain}-{number}"), start),
-        born: case.keeps_ids.then(|| birth(Micros::ZERO)),
+        born: case.keeps_ids.then(|| start_time(Micros::ZERO)),
         revision: 1,
         service: SERVICE.parse().expect("a short name"),
         version: "v1".parse().expect("a short name"),
--- a/src/gateway/dispatch/fleet/limits.rs
+++ b/src/gateway/dispatch/fleet/limits.rs
@@ -66,29 +66,29 @@
 
 /// The error for a text that is not a rate.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct NoRate {
+pub struct InvalidRate {
     text: String,
 }
 
-impl fmt::Display for NoRate {
+impl fmt::Display for InvalidRate {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let text = &self.text;
         write!(
             f,
-            "{text:?} is no rate; give requests a second as a decimal number of 0 or more"
+            "{text:?} is not a rate; give requests a second as a decimal number of 0 or more"
         )
     }
 }
 
-impl std::error::Error for NoRate {}
+impl std::error::Error for InvalidRate {}
 
 impl FromStr for RequestRate {
-    type Err = NoRate;
+    type Err = InvalidRate;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         let parsed = text.trim().parse::<f64>();
         let proper = parsed.ok().filter(|rate| rate.is_finite() && *rate >= 0.0);
-        let rate = proper.ok_or_else(|| NoRate {
+        let rate = proper.ok_or_else(|| InvalidRate {
             text: text.to_owned(),
         })?;
         Ok(Self {
--- a/src/gateway/dispatch/suspicion.rs
+++ b/src/gateway/dispatch/suspicion.rs
@@ -107,8 +107,8 @@
             .last_seen
             .max(endpoint.last_seen)
             .max(endpoint.last_probe);
-        let is_due = self.now.since(last_seen) >= limit && endpoint.probe_sent.is_none();
-        is_due.then(|| active.endpoint.id.clone())
+        let needs_probe = self.now.since(last_seen) >= limit && endpoint.probe_sent.is_none();
+        needs_probe.then(|| active.endpoint.id.clone())
     }
 
     fn probe(&mut self, id: &EndpointId) {
--- a/src/schema/generated.rs
+++ b/src/schema/generated.rs
@@ -811,7 +811,7 @@
             })
     }
 }
-///One life of an endpoint, from a start of its process to its end.
+///One incarnation of an endpoint, from a start of its process to its end.
 #[derive(
     ::serde::Deserialize,
     ::serde::Serialize,
@@ -825,7 +825,7 @@
 )]
 #[serde(deny_unknown_fields)]
 pub struct EndpointIncarnation {
-    ///When that life began, if the endpoint says so.
+    ///When its process started, if the endpoint reports it.
     #[serde(deserialize_with = "::std::option::Option::deserialize")]
     pub born: ::std::option::Option<StartTime>,
     pub id: EndpointId,
@@ -1544,31 +1544,31 @@
             })
     }
 }
-///What an answer of an endpoint to a box said that the endpoint takes.
+///The limit that an endpoint named in an answer to a box.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct LimitReport {
     ///Milliseconds since that answer.
     pub age_ms: u32,
     pub endpoint: EndpointIncarnation,
-    ///Thousandths of a request a second that it takes from all boxes together; nothing where it named no limit.
+    ///Thousandths of a request a second from all boxes together; null where the endpoint named no limit.
     #[serde(deserialize_with = "::std::option::Option::deserialize")]
     pub milli_per_second: ::std::option::Option<u32>,
 }
-///What a box tells others of endpoints that name limits.
+///Limits, permit requests and grants that a box sends to others.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct LimitUpdate {
-    ///Permits that are asked for.
+    ///Permit requests.
     pub asks: ::std::vec::Vec<PermitRequest>,
     pub from: BoxId,
     ///Permits that are granted.
     pub grants: ::std::vec::Vec<PermitGrant>,
-    ///Whether another box than the one that asks sent this.
+    ///Whether another box than the requester forwarded this.
     pub is_passed_on: bool,
-    ///What endpoints said.
+    ///Limits that endpoints named.
     pub notes: ::std::vec::Vec<LimitReport>,
-    ///Where permits go that are asked for.
+    ///Address to which requested permits are sent.
     pub reply_to: ::std::string::String,
 }
 ///An endpoint's load as one box read it.
@@ -2239,12 +2239,12 @@
     ///How many.
     pub permits: u32,
 }
-///A box asks for permits to send requests to an endpoint that names a limit.
+///Requests permits to send requests to an endpoint that names a limit.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct PermitRequest {
     pub endpoint: EndpointIncarnation,
-    ///How many requests it would send there.
+    ///Number of permits wanted.
     pub wanted: u32,
 }
 ///How requests are served.
--- a/src/schema/incarnation.rs
+++ b/src/schema/incarnation.rs
@@ -1,7 +1,7 @@
-//! One life of an endpoint: its id, and when its process started.
+//! One incarnation of an endpoint: its id, and when its process started.
 //!
-//! A process may start again under the id that it had, and then holds and knows nothing of before.
-//! Written as `ID`, or as `ID@START_TIME` where the endpoint says when it started.
+//! A process that restarts under the same id keeps nothing of what it held. Written as `ID`, or as
+//! `ID@START_TIME` where the endpoint reports when it started.
 
 use std::fmt;
 use std::str::FromStr;
@@ -9,16 +9,16 @@
 use super::generated::error::ConversionError;
 use super::{EndpointId, EndpointIncarnation, StartTime};
 
-/// Separates the id from the birth.
+/// Separates the id from the start time.
 const START_TIME_MARK: char = '@';
 
 impl EndpointIncarnation {
-    /// Whether two accounts can be of the same life: where one of them doesn't tell the birth, the
-    /// id decides.
+    /// Whether two values can name the same incarnation: where one of them has no start time, the id
+    /// decides.
     #[must_use]
     pub fn may_be(&self, other: &Self) -> bool {
-        let is_other_birth = self.born.zip(other.born).is_some_and(|(a, b)| a != b);
-        self.id == other.id && !is_other_birth
+        let is_other_start = self.born.zip(other.born).is_some_and(|(a, b)| a != b);
+        self.id == other.id && !is_other_start
     }
 }
 
@@ -41,9 +41,9 @@
     type Err = ConversionError;
 
     fn from_str(text: &str) -> Result<Self, ConversionError> {
-        let told = text.rsplit_once(START_TIME_MARK);
-        let told = told.and_then(|(id, born)| Some((id, born.parse().ok()?)));
-        let (id, born) = told.map_or((text, None), |(id, born)| (id, Some(StartTime(born))));
+        let parts = text.rsplit_once(START_TIME_MARK);
+        let parts = parts.and_then(|(id, born)| Some((id, born.parse().ok()?)));
+        let (id, born) = parts.map_or((text, None), |(id, born)| (id, Some(StartTime(born))));
         Ok(Self {
             id: id.parse()?,
             born,
