--- a/src/gateway/dispatch/replicas.rs
+++ b/src/gateway/dispatch/replicas.rs
@@ -215,7 +215,7 @@
         let Some(spec) = self.fleet.get(host).map(|e| e.spec.clone()) else {
             return;
         };
-        let incarnation = spec.incarnation();
+        let holder = spec.incarnation();
         let Some(request) = self.requests.get_mut(&number) else {
             return;
         };
@@ -227,13 +227,10 @@
         let attempt = active.attempt;
         let engine = active.address;
         let memory = active.memory;
-        let is_new = active
-            .snapshot
-            .as_ref()
-            .is_none_or(|c| c.host != incarnation);
+        let is_new = active.snapshot.as_ref().is_none_or(|c| c.host != holder);
         let former = if is_new { active.snapshot.take() } else { None };
         let snapshot = active.snapshot.get_or_insert(Snapshot {
-            host: incarnation,
+            host: holder,
             name: None,
             requested_at: None,
             taken_at: now,
