--- a/src/gateway/dispatch/duty/usage_counts.rs
+++ b/src/gateway/dispatch/duty/usage_counts.rs
@@ -166,15 +166,15 @@
     /// Merges an update from a reporter.
     pub fn on_update(&mut self, update: &UsageCountUpdate, now: Micros) {
         self.since.get_or_insert(now);
-        let reporter = match &update.of_domain {
+        let source = match &update.of_domain {
             Some(domain) => Reporter::Domain(domain.clone()),
             None => Reporter::Box(update.from.clone(), update.incarnation),
         };
-        if !self.reporters.contains_key(&reporter) {
+        if !self.reporters.contains_key(&source) {
             self.reporters
                 .retain(|_, reported| now.since(reported.last_seen) < REPORTER_RETENTION);
         }
-        let reported = self.reporters.entry(reporter).or_insert_with(|| Reported {
+        let reported = self.reporters.entry(source).or_insert_with(|| Reported {
             last_seen: now,
             until: UnixMillis(0),
             windows: BTreeMap::new(),
@@ -206,7 +206,7 @@
         let local = self
             .reporters
             .iter()
-            .filter_map(|(reporter, reported)| match reporter {
+            .filter_map(|(source, reported)| match source {
                 Reporter::Box(..) => Some(reported),
                 Reporter::Domain(_) => None,
             });
--- a/src/gateway/shell/duties.rs
+++ b/src/gateway/shell/duties.rs
@@ -45,7 +45,7 @@
     match call.operation {
         StoreOperation::Read => shared.metrics.store_reads().inc(),
         StoreOperation::Create(_) | StoreOperation::Replace { .. } => {
-            shared.metrics.store_writes().inc()
+            shared.metrics.store_writes().inc();
         }
     }
     let wanted = shared.dialect.duty_call(&call.operation);
