--- a/lab/src/gateway/spread.rs
+++ b/lab/src/gateway/spread.rs
@@ -255,7 +255,7 @@
         let entries: Vec<Entry> = self.servers.iter().map(|id| server(id)).collect();
         for member in self.watchers() {
             let change = StoreChange::Listed(entries.clone());
-            store::take_in(ObjectKind::Endpoints, change, self.revision, &member.shared).await;
+            store::apply_change(ObjectKind::Endpoints, change, self.revision, &member.shared).await;
         }
     }
 
@@ -271,7 +271,7 @@
         }
         for member in self.watchers() {
             let change = StoreChange::Changed(entries.clone());
-            store::take_in(ObjectKind::Endpoints, change, self.revision, &member.shared).await;
+            store::apply_change(ObjectKind::Endpoints, change, self.revision, &member.shared).await;
         }
     }
 
@@ -292,9 +292,9 @@
         for member in self.watchers() {
             let shared = member.shared.clone();
             let change = StoreChange::Changed(vec![entry.clone()]);
-            tokio::spawn(
-                async move { store::take_in(ObjectKind::Table, change, 0, &shared).await },
-            );
+            tokio::spawn(async move {
+                store::apply_change(ObjectKind::Table, change, 0, &shared).await
+            });
         }
         let mut next_replacement = given + REPLACE_EVERY;
         while !self.is_over(plan, version) {
--- a/src/gateway/shell.rs
+++ b/src/gateway/shell.rs
@@ -130,7 +130,7 @@
     file: Option<PathBuf>,
     shared: &GatewayShared,
 ) {
-    runtime.spawn(peers::hear(listeners.gossip, shared.clone()));
+    runtime.spawn(peers::receive(listeners.gossip, shared.clone()));
     runtime.spawn(transfer::accept(listeners.peers, shared.clone()));
     runtime.spawn(serve_callers(listeners.callers, shared.clone()));
     let operators = operators::Operators::new(shared.clone());
@@ -139,7 +139,7 @@
     runtime.spawn(store::follow(ObjectKind::Table, shared.clone()));
     runtime.spawn(store::follow(ObjectKind::Endpoints, shared.clone()));
     runtime.spawn(store::follow(ObjectKind::Rollouts, shared.clone()));
-    runtime.spawn(duties::tell_time(shared.clone()));
+    runtime.spawn(duties::send_time_of_day(shared.clone()));
     runtime.spawn(pool::sweep_resting(
         Arc::clone(&shared.pool),
         REST_BEFORE_CLOSE,
--- a/src/gateway/shell/control.rs
+++ b/src/gateway/shell/control.rs
@@ -173,10 +173,10 @@
             Action::SaveQuarantine {
                 request,
                 is_quarantined,
-            } => self.spawn(quarantine::keep(request, is_quarantined, shared)),
+            } => self.spawn(quarantine::write_object(request, is_quarantined, shared)),
             Action::WriteRollout(write) => self.spawn(rollouts::write_status(write, shared)),
             Action::PublishUsageCounts { to, update: news } => {
-                let datagram = datagram::write_began(&news);
+                let datagram = datagram::write_usage_counts(&news);
                 self.spawn(peers::send(gossip, to, datagram, shared));
             }
             Action::PublishLimits { to, update: news } => {
@@ -204,7 +204,7 @@
                 endpoint,
                 address,
                 limit,
-            } => self.spawn(probes::check_ended(endpoint, address, limit, shared)),
+            } => self.spawn(probes::check_exited(endpoint, address, limit, shared)),
             Action::Locate {
                 request,
                 part,
@@ -215,7 +215,7 @@
                 self.spawn(snapshots::discard(engine, name, shared));
             }
             Action::RequestIdentity { spec, path } => {
-                self.spawn(probes::ask_identity(spec, path, shared));
+                self.spawn(probes::request_identity(spec, path, shared));
             }
             Action::Identify(spec) => self.spawn(probes::identify(spec, shared)),
             _ => {}
--- a/src/gateway/shell/datagram.rs
+++ b/src/gateway/shell/datagram.rs
@@ -68,7 +68,7 @@
 /// # Errors
 ///
 /// If it can't be encoded.
-pub fn write_began(began: &UsageCountUpdate) -> Result<Vec<u8>, postcard::Error> {
+pub fn write_usage_counts(began: &UsageCountUpdate) -> Result<Vec<u8>, postcard::Error> {
     with_section(telling_nothing(&began.from)?, BEGAN, began)
 }
 
--- a/src/gateway/shell/duties.rs
+++ b/src/gateway/shell/duties.rs
@@ -29,7 +29,7 @@
 const CALL_LIMIT: Duration = Duration::from_millis(1_500);
 
 /// Tells the control thread the time of day, where a duty asks for it.
-pub async fn tell_time(shared: GatewayShared) {
+pub async fn send_time_of_day(shared: GatewayShared) {
     if shared.settings.usage.is_none() {
         return;
     }
--- a/src/gateway/shell/endpoint_reader.rs
+++ b/src/gateway/shell/endpoint_reader.rs
@@ -48,7 +48,7 @@
             let detail = format_args!("{:?}: {e}; take the entry away", entry.name);
             shared
                 .faults
-                .note_once(FaultKind::EndpointEntry, &entry.name, &detail);
+                .report_once(FaultKind::EndpointEntry, &entry.name, &detail);
             return None;
         }
     };
@@ -75,7 +75,7 @@
             let content = format!("{id} {text}");
             shared
                 .faults
-                .note_once(FaultKind::EndpointEntry, &content, &e);
+                .report_once(FaultKind::EndpointEntry, &content, &e);
             EndpointChange::Unreadable(id.clone())
         }
     }
--- a/src/gateway/shell/exchange.rs
+++ b/src/gateway/shell/exchange.rs
@@ -233,7 +233,7 @@
         let limit = match self.shared.dialect.limit(headers) {
             Ok(limit) => limit,
             Err(e) => {
-                self.shared.faults.note(FaultKind::EndpointLimit, &e);
+                self.shared.faults.report(FaultKind::EndpointLimit, &e);
                 return;
             }
         };
--- a/src/gateway/shell/faults.rs
+++ b/src/gateway/shell/faults.rs
@@ -61,7 +61,7 @@
 
     /// The word for it in metrics and lines.
     #[must_use]
-    pub fn word(self) -> &'static str {
+    pub fn label(self) -> &'static str {
         match self {
             Self::StoreAnswer => "store_answer",
             Self::EndpointEntry => "endpoint_entry",
@@ -102,15 +102,15 @@
     }
 
     /// Counts a fault; tells of it unless one of its kind was told within the last second.
-    pub fn note(&self, kind: FaultKind, detail: &dyn fmt::Display) {
-        self.counts.with_label_values(&[kind.word()]).inc();
+    pub fn report(&self, kind: FaultKind, detail: &dyn fmt::Display) {
+        self.counts.with_label_values(&[kind.label()]).inc();
         if self.may_tell(kind) {
-            log::warn!("{}: {detail}", kind.word());
+            log::warn!("{}: {detail}", kind.label());
         }
     }
 
     /// Notes a fault of something that stays, by its content, the first time it is met.
-    pub fn note_once(&self, kind: FaultKind, content: &str, detail: &dyn fmt::Display) {
+    pub fn report_once(&self, kind: FaultKind, content: &str, detail: &dyn fmt::Display) {
         let mut told = self.told.lock().unwrap_or_else(PoisonError::into_inner);
         if told.len() >= MOST_REMEMBERED {
             told.clear();
@@ -118,7 +118,7 @@
         let is_new = told.insert(xxh3_64_with_seed(content.as_bytes(), kind as u64));
         drop(told);
         if is_new {
-            self.note(kind, detail);
+            self.report(kind, detail);
         }
     }
 
--- a/src/gateway/shell/peers.rs
+++ b/src/gateway/shell/peers.rs
@@ -29,23 +29,23 @@
     let faults = &shared.faults;
     let bytes = match datagram {
         Ok(bytes) => bytes,
-        Err(e) => return faults.note(FaultKind::PeerSocket, &e),
+        Err(e) => return faults.report(FaultKind::PeerSocket, &e),
     };
     for address in to {
         if let Err(e) = socket.send_to(&bytes, address).await {
-            faults.note(FaultKind::PeerSocket, &format_args!("to {address}: {e}"));
+            faults.report(FaultKind::PeerSocket, &format_args!("to {address}: {e}"));
         }
     }
 }
 
 /// Receives what other boxes send by UDP, for as long as the process runs.
-pub async fn hear(socket: Arc<UdpSocket>, shared: GatewayShared) {
+pub async fn receive(socket: Arc<UdpSocket>, shared: GatewayShared) {
     let mut buf = vec![0; LONGEST_DATAGRAM];
     loop {
         let length = match socket.recv_from(&mut buf).await {
             Ok((length, _)) => length,
             Err(e) => {
-                shared.faults.note(FaultKind::PeerSocket, &e);
+                shared.faults.report(FaultKind::PeerSocket, &e);
                 tokio::time::sleep(SOCKET_PAUSE).await;
                 continue;
             }
@@ -56,7 +56,7 @@
                     shared.send(Input::Event(event)).await;
                 }
             }
-            Err(e) => shared.faults.note(FaultKind::PeerMessage, &e),
+            Err(e) => shared.faults.report(FaultKind::PeerMessage, &e),
         }
     }
 }
--- a/src/gateway/shell/probes.rs
+++ b/src/gateway/shell/probes.rs
@@ -47,7 +47,7 @@
 
 /// Makes a connection to an endpoint and reports whether nothing listens there any more. One that
 /// can't be made in time tells nothing: the link may be cut.
-pub async fn check_ended(
+pub async fn check_exited(
     endpoint: EndpointIncarnation,
     address: SocketAddr,
     limit: Duration,
@@ -101,7 +101,7 @@
 
 /// Asks whoever has an endpoint's address who it is, and an endpoint that tells births for its own:
 /// the same name alone doesn't tell that it has not started again.
-pub async fn ask_identity(spec: EndpointSpec, path: String, shared: GatewayShared) {
+pub async fn request_identity(spec: EndpointSpec, path: String, shared: GatewayShared) {
     let asking = async {
         let mut connection = Pool::connect(spec.address, LOCATE_LIMIT).await.ok()?;
         shared.metrics.probes.inc();
--- a/src/gateway/shell/quarantine.rs
+++ b/src/gateway/shell/quarantine.rs
@@ -54,7 +54,7 @@
             Err(e) => {
                 let content = format!("{} {:?}", entry.name, entry.text);
                 let kind = FaultKind::QuarantineObject;
-                shared.faults.note_once(kind, &content, &e);
+                shared.faults.report_once(kind, &content, &e);
                 continue;
             }
         };
@@ -63,14 +63,14 @@
             let age_ms = age.as_millis() as u32;
             kept.push(RequestAge { request, age_ms });
         } else {
-            tokio::spawn(keep(request, false, shared.clone()));
+            tokio::spawn(write_object(request, false, shared.clone()));
         }
     }
     shared.send(Input::Event(Event::QuarantineRead(kept))).await;
 }
 
 /// Has the store keep that a request is quarantined, or is so no more.
-pub async fn keep(request: Fingerprint, is_quarantined: bool, shared: GatewayShared) {
+pub async fn write_object(request: Fingerprint, is_quarantined: bool, shared: GatewayShared) {
     let mut rng = ChaCha8Rng::seed_from_u64(rand::random());
     let since = UnixMillis(wall_millis());
     for calls in 0..MOST_CALLS {
--- a/src/gateway/shell/rollouts.rs
+++ b/src/gateway/shell/rollouts.rs
@@ -59,7 +59,7 @@
             let content = format!("{} {text}", entry.name);
             shared
                 .faults
-                .note_once(FaultKind::RolloutObject, &content, &e);
+                .report_once(FaultKind::RolloutObject, &content, &e);
             None
         }
     }
--- a/src/gateway/shell/shared.rs
+++ b/src/gateway/shell/shared.rs
@@ -20,7 +20,7 @@
 use crate::gateway::shell::headers;
 use crate::gateway::shell::input::Input;
 use crate::gateway::shell::metrics::GatewayMetrics;
-use crate::gateway::shell::store_cache::{KeptTable, StoreCache};
+use crate::gateway::shell::store_cache::{CachedTable, StoreCache};
 use crate::http::pool::Pool;
 use crate::listen::DaemonError;
 use crate::schema::{PackedTable, StateReply, StateRequest};
@@ -247,7 +247,7 @@
 
     /// Keeps a configuration for peers; returns whether it is newer than the one that was kept.
     #[must_use]
-    pub fn keep_table(&self, table: KeptTable) -> bool {
+    pub fn keep_table(&self, table: CachedTable) -> bool {
         let mut cache = self.write_cache();
         let kept = cache.table.as_ref();
         let is_newer = kept.is_none_or(|kept| kept.version < table.version);
--- a/src/gateway/shell/snapshots.rs
+++ b/src/gateway/shell/snapshots.rs
@@ -43,7 +43,7 @@
     match shared.dialect.read_snapshot(&body) {
         Ok(name) => Some(name),
         Err(e) => {
-            shared.faults.note(FaultKind::SnapshotAnswer, &e);
+            shared.faults.report(FaultKind::SnapshotAnswer, &e);
             None
         }
     }
--- a/src/gateway/shell/store.rs
+++ b/src/gateway/shell/store.rs
@@ -66,7 +66,7 @@
         }
         let mut pause = next.pause;
         if let Some(change) = next.change {
-            take_in(source, change, watcher.revision(), &shared).await;
+            apply_change(source, change, watcher.revision(), &shared).await;
             pause = pause.max(gathering(source));
         }
         tokio::time::sleep(pause).await;
@@ -91,7 +91,7 @@
         let answer = link.ask(source, &watcher.next_request(), shared).await;
         let next = watcher.on_answer(answer, &mut rng);
         if let Some(change) = next.change {
-            return take_in(source, change, watcher.revision(), shared).await;
+            return apply_change(source, change, watcher.revision(), shared).await;
         }
         tokio::time::sleep(next.pause).await;
     }
@@ -104,7 +104,7 @@
     let answer = StoreLink::default().ask(source, &request, &shared).await;
     // A failure is seen by the table that doesn't come, and the store is then read again.
     if let StoreAnswer::Page(page) = answer {
-        take_in(source, StoreChange::Listed(page.entries), page.at, &shared).await;
+        apply_change(source, StoreChange::Listed(page.entries), page.at, &shared).await;
     }
 }
 
@@ -137,7 +137,7 @@
             StoreAnswer::Page(page)
         }
         Err(e) => {
-            shared.faults.note(FaultKind::StoreAnswer, &e);
+            shared.faults.report(FaultKind::StoreAnswer, &e);
             StoreAnswer::Failed
         }
     }
@@ -149,7 +149,7 @@
         let detail = format_args!("{source:?}: {object}");
         shared
             .faults
-            .note_once(FaultKind::UnnamedObject, &object.message, &detail);
+            .report_once(FaultKind::UnnamedObject, &object.message, &detail);
     }
 }
 
@@ -222,7 +222,12 @@
 }
 
 /// Keeps what was read at a revision of the store for peers, and hands it to the control thread.
-pub async fn take_in(source: ObjectKind, change: StoreChange, at: u64, shared: &GatewayShared) {
+pub async fn apply_change(
+    source: ObjectKind,
+    change: StoreChange,
+    at: u64,
+    shared: &GatewayShared,
+) {
     match (source, change) {
         (ObjectKind::Table, StoreChange::Listed(entries) | StoreChange::Changed(entries)) => {
             for entry in entries {
--- a/src/gateway/shell/store_cache.rs
+++ b/src/gateway/shell/store_cache.rs
@@ -17,7 +17,7 @@
 
 /// A configuration that was read.
 #[derive(Clone, Debug)]
-pub struct KeptTable {
+pub struct CachedTable {
     /// Its version.
     pub version: TableVersion,
     /// Its text.
@@ -26,7 +26,7 @@
     pub read_at: Instant,
 }
 
-impl KeptTable {
+impl CachedTable {
     /// How long ago the store answered the box that read it.
     #[must_use]
     pub fn age(&self) -> Duration {
@@ -37,7 +37,7 @@
 /// What was read from the platform, as it was read.
 #[derive(Debug, Default)]
 pub(super) struct StoreCache {
-    pub(super) table: Option<KeptTable>,
+    pub(super) table: Option<CachedTable>,
     endpoints: BTreeMap<String, String>,
     /// The revision at which the list of endpoints changed last.
     pub(super) endpoints_at: u64,
--- a/src/gateway/shell/table_reader.rs
+++ b/src/gateway/shell/table_reader.rs
@@ -13,7 +13,7 @@
 use crate::gateway::shell::dialect::{Dialect, Entry};
 use crate::gateway::shell::input::Input;
 use crate::gateway::shell::packed::PackedText;
-use crate::gateway::shell::store_cache::KeptTable;
+use crate::gateway::shell::store_cache::CachedTable;
 
 /// The text of a configuration.
 #[derive(Clone, Debug)]
@@ -54,7 +54,7 @@
     };
     let version = table.version();
     let text_bytes = packed.text_bytes;
-    let is_newer = shared.keep_table(KeptTable {
+    let is_newer = shared.keep_table(CachedTable {
         version,
         text: packed,
         read_at: source.read_at,
--- a/src/gateway/shell/transfer.rs
+++ b/src/gateway/shell/transfer.rs
@@ -76,7 +76,7 @@
         }
         Err(e) => {
             let detail = format_args!("{kind:?} from {from}: {e}");
-            shared.faults.note(FaultKind::PeerFetch, &detail);
+            shared.faults.report(FaultKind::PeerFetch, &detail);
             FetchOutcome::Failed
         }
     };
@@ -113,7 +113,7 @@
             Ok(entries) => entries,
             Err(e) => {
                 let detail = format_args!("endpoints from {from}: {e}");
-                return shared.faults.note(FaultKind::PeerFetch, &detail);
+                return shared.faults.report(FaultKind::PeerFetch, &detail);
             }
         };
         let entries = entries.into_iter().map(|entry| Entry {
@@ -126,7 +126,7 @@
         } else {
             StoreChange::Changed(entries)
         };
-        store::take_in(ObjectKind::Endpoints, change, reply.endpoints_at, shared).await;
+        store::apply_change(ObjectKind::Endpoints, change, reply.endpoints_at, shared).await;
     }
 }
 
@@ -153,7 +153,7 @@
         let socket = match listener.accept().await {
             Ok((socket, _)) => socket,
             Err(e) => {
-                shared.faults.note(FaultKind::PeerSocket, &e);
+                shared.faults.report(FaultKind::PeerSocket, &e);
                 tokio::time::sleep(SOCKET_PAUSE).await;
                 continue;
             }
--- a/tests/datagram.rs
+++ b/tests/datagram.rs
@@ -8,7 +8,7 @@
 
 use magpiemoor::gateway::dispatch::event::Event;
 use magpiemoor::gateway::shell::datagram::{
-    read, with_holder, write_began, write_limits, write_state, write_usage,
+    read, with_holder, write_limits, write_state, write_usage, write_usage_counts,
 };
 use magpiemoor::schema::{
     BoxState, CrashReport, CrashUpdate, DatagramSection, DutyHolder, EndpointUsage, Fingerprint,
@@ -218,7 +218,7 @@
 /// The version in production reads a message that tells nothing, and leaves what began behind it.
 #[test]
 fn what_began_goes_behind_a_message_that_tells_nothing() {
-    let bytes = write_began(&began()).unwrap();
+    let bytes = write_usage_counts(&began()).unwrap();
     let events = read(&bytes).unwrap();
     let [Event::PeerUsage(nothing), Event::PeerUsageCounts(read)] = &events[..] else {
         panic!("{events:?}");
--- a/tests/gateway_metrics.rs
+++ b/tests/gateway_metrics.rs
@@ -137,13 +137,13 @@
     let metrics = GatewayMetrics::new();
     let faults = Faults::new(metrics.set());
     for kind in FaultKind::ALL {
-        faults.note(kind, &"what went wrong");
+        faults.report(kind, &"what went wrong");
     }
-    faults.note(FaultKind::StoreAnswer, &"again, at once");
+    faults.report(FaultKind::StoreAnswer, &"again, at once");
     let text = String::from_utf8(metrics.set().text()).unwrap();
     for kind in FaultKind::ALL {
         let count = if kind == FaultKind::StoreAnswer { 2 } else { 1 };
-        let line = format!("faults_total{{kind=\"{}\"}} {count}", kind.word());
+        let line = format!("faults_total{{kind=\"{}\"}} {count}", kind.label());
         assert!(text.contains(&line), "{line} is not in {text}");
     }
 }
