--- a/src/gateway/shell/callers.rs
+++ b/src/gateway/shell/callers.rs
@@ -72,8 +72,8 @@
     let most = shared
         .limits()
         .map_or(UNCONFIGURED_BODY, |limits| limits.body_bytes);
-    let Some(_room) = shared.room_for_body(&head.headers, most) else {
-        return shared.no_room(&arrival.id);
+    let Some(_room) = shared.reserve_body_memory(&head.headers, most) else {
+        return shared.refuse_for_memory(&arrival.id);
     };
     let body = match http::read_body(Body::take_from(state), most).await {
         Ok(body) => body,
--- a/src/gateway/shell/dialect.rs
+++ b/src/gateway/shell/dialect.rs
@@ -47,7 +47,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum AnswerKind {
     /// It answers the request.
-    Proper,
+    Valid,
     /// The request was not run.
     NotRun(NotRunCause),
     /// It belongs to another request.
@@ -90,7 +90,7 @@
     /// Orders of roll-outs are rare, and the first box of each failure domain watches them: a silent
     /// connection keeps an order from one domain, and the others tell it.
     #[must_use]
-    pub fn watch_wait(self, watch: Duration) -> Duration {
+    pub fn watch_timeout(self, watch: Duration) -> Duration {
         match self {
             Self::Table | Self::Endpoints | Self::Quarantine => watch,
             Self::Rollouts => (watch * ROLLOUT_WATCHES).min(LONGEST_WATCH),
@@ -100,7 +100,7 @@
     /// Whether an answer shows that a box can tell others what they need of the store. One with
     /// orders of roll-outs does not: tables and endpoints have connections of their own.
     #[must_use]
-    pub fn makes_a_watcher(self) -> bool {
+    pub fn shows_store_access(self) -> bool {
         match self {
             Self::Table | Self::Endpoints => true,
             Self::Rollouts | Self::Quarantine => false,
@@ -159,7 +159,7 @@
     fn request_headers(&self, caller: &HeaderMap, id: &str, sending: &Attempt) -> HeaderMap;
 
     /// Judges the head of an endpoint's answer.
-    fn judge(&self, head: &response::Parts, id: &str) -> AnswerKind;
+    fn classify_answer(&self, head: &response::Parts, id: &str) -> AnswerKind;
 
     /// The limit of requests a second that the head of an endpoint's answer names.
     ///
--- a/src/gateway/shell/endpoint_reader.rs
+++ b/src/gateway/shell/endpoint_reader.rs
@@ -25,7 +25,7 @@
     };
     let named = entries.into_iter().filter_map(|e| named(e, shared));
     let (ids, entries): (Vec<EndpointId>, Vec<Entry>) = named.unzip();
-    let at = shared.keep_endpoints(&entries, is_whole, at)?;
+    let at = shared.cache_endpoints(&entries, is_whole, at)?;
     let named = ids.iter().zip(&entries);
     let changes = named.map(|(id, entry)| change_of(id, entry, shared));
     let changes: Vec<EndpointChange> = changes.collect();
--- a/src/gateway/shell/events.rs
+++ b/src/gateway/shell/events.rs
@@ -18,16 +18,16 @@
 
 /// The stream is not one of events.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct NoEvent;
+pub struct EventTooLong;
 
 /// Collects bytes until they make an event.
 #[derive(Debug, Default)]
-pub struct EventCutter {
+pub struct EventSplitter {
     held: BytesMut,
     searched: usize,
 }
 
-impl EventCutter {
+impl EventSplitter {
     /// Adds bytes as they came.
     pub fn push(&mut self, bytes: &[u8]) {
         self.held.extend_from_slice(bytes);
@@ -38,11 +38,11 @@
     /// # Errors
     ///
     /// If an event is longer than any that is taken.
-    pub fn next_event(&mut self) -> Result<Option<RawEvent>, NoEvent> {
+    pub fn next_event(&mut self) -> Result<Option<RawEvent>, EventTooLong> {
         let Some(end) = self.find_end() else {
             self.searched = self.held.len().saturating_sub(3);
             return if self.held.len() > LONGEST_EVENT {
-                Err(NoEvent)
+                Err(EventTooLong)
             } else {
                 Ok(None)
             };
@@ -55,7 +55,7 @@
 
     /// Whether bytes are held that make no whole event.
     #[must_use]
-    pub fn has_rest(&self) -> bool {
+    pub fn has_incomplete_event(&self) -> bool {
         self.held.iter().any(|b| !b.is_ascii_whitespace())
     }
 
--- a/src/gateway/shell/exchange.rs
+++ b/src/gateway/shell/exchange.rs
@@ -28,7 +28,7 @@
 use crate::gateway::dispatch::refusal::Refusal;
 use crate::gateway::shell::attempt::{CallerRequest, Held, hold, open};
 use crate::gateway::shell::dialect::AnswerKind;
-use crate::gateway::shell::events::EventCutter;
+use crate::gateway::shell::events::EventSplitter;
 use crate::gateway::shell::faults::FaultKind;
 use crate::gateway::shell::input::Input;
 use crate::gateway::shell::{GatewayShared, headers};
@@ -215,14 +215,14 @@
 
     /// Judges the head of an answer; returns the outcome of an attempt that it ends.
     async fn judge_head(&self, attempt: &Attempt, head: &response::Parts) -> Option<Outcome> {
-        let outcome = match self.shared.dialect.judge(head, &self.request.id) {
+        let outcome = match self.shared.dialect.classify_answer(head, &self.request.id) {
             AnswerKind::Foreign => return Some(Outcome::Broken(Fault::Foreign)),
             AnswerKind::Malformed => return Some(Outcome::Broken(Fault::Malformed)),
             AnswerKind::NotRun(cause @ NotRunCause::OtherInstance(_)) => {
                 return Some(Outcome::NotRun(cause));
             }
             AnswerKind::NotRun(cause @ NotRunCause::NoRoom) => Some(Outcome::NotRun(cause)),
-            AnswerKind::Proper => None,
+            AnswerKind::Valid => None,
         };
         self.report_limit(attempt, &head.headers).await;
         outcome
@@ -279,14 +279,14 @@
         mut body: Incoming,
         connection: Connection,
     ) -> AttemptEnd {
-        let mut cutter = EventCutter::default();
+        let mut splitter = EventSplitter::default();
         loop {
             let frame = match self.unless_over(attempt.attempt, body.frame()).await {
                 Err(end) => return end,
                 Ok(frame) => frame,
             };
             match frame {
-                None if cutter.has_rest() => {
+                None if splitter.has_incomplete_event() => {
                     return AttemptEnd::Ended(Outcome::Broken(Fault::Malformed));
                 }
                 None => {
@@ -296,12 +296,12 @@
                 Some(Err(_)) => return AttemptEnd::Ended(Outcome::Broken(Fault::Closed)),
                 Some(Ok(frame)) => {
                     if let Some(bytes) = frame.data_ref() {
-                        cutter.push(bytes);
+                        splitter.push(bytes);
                     }
                 }
             }
             if let Err(end) = self
-                .pass_events(attempt.attempt, headers, &mut cutter)
+                .pass_events(attempt.attempt, headers, &mut splitter)
                 .await
             {
                 return end;
@@ -314,11 +314,11 @@
         &mut self,
         attempt: AttemptNumber,
         headers: &HeaderMap,
-        cutter: &mut EventCutter,
+        splitter: &mut EventSplitter,
     ) -> Result<(), AttemptEnd> {
         let before = self.last_event;
         loop {
-            let event = match cutter.next_event() {
+            let event = match splitter.next_event() {
                 Err(_) => return Err(AttemptEnd::Ended(Outcome::Broken(Fault::Malformed))),
                 Ok(None) => break,
                 Ok(Some(event)) => event,
@@ -384,7 +384,7 @@
             .observe(self.started.elapsed().as_secs_f64());
         let (events, received) = mpsc::channel(EVENTS_WAITING);
         let mut response = Response::new(Body::new(StreamBody::new(frames(received))));
-        *response.headers_mut() = headers::passed_on(headers);
+        *response.headers_mut() = headers::end_to_end_headers(headers);
         response.headers_mut().remove(header::CONTENT_LENGTH);
         self.shared.mark_closing(&mut response);
         reply.send(response).ok()?;
@@ -418,7 +418,7 @@
             .observe(self.started.elapsed().as_secs_f64());
         let mut response = Response::new(http::full(held.body));
         *response.status_mut() = held.status;
-        *response.headers_mut() = headers::passed_on(&held.headers);
+        *response.headers_mut() = headers::end_to_end_headers(&held.headers);
         response.headers_mut().remove(header::CONTENT_LENGTH);
         self.shared.mark_closing(&mut response);
         let _ = reply.send(response);
--- a/src/gateway/shell/headers.rs
+++ b/src/gateway/shell/headers.rs
@@ -25,7 +25,7 @@
 
 /// The headers of a head that concern more than its connection.
 #[must_use]
-pub fn passed_on(headers: &HeaderMap) -> HeaderMap {
+pub fn end_to_end_headers(headers: &HeaderMap) -> HeaderMap {
     let named = named_by_connection(headers);
     let mut passed = HeaderMap::with_capacity(headers.len());
     for (name, value) in headers {
--- a/src/gateway/shell/shared.rs
+++ b/src/gateway/shell/shared.rs
@@ -63,12 +63,12 @@
 }
 
 /// Gives back the room that a body takes.
-pub struct BodyRoom {
+pub struct BodyReservation {
     state: Arc<SharedState>,
     bytes: usize,
 }
 
-impl Drop for BodyRoom {
+impl Drop for BodyReservation {
     fn drop(&mut self) {
         self.state
             .held_bytes
@@ -141,7 +141,7 @@
     }
 
     /// Has connections at rest closed.
-    pub fn close_resting(&self) {
+    pub fn close_idle_connections(&self) {
         self.closing.send_replace(true);
     }
 
@@ -208,19 +208,19 @@
 
     /// Reserves the room that a body may take, if there is any.
     #[must_use]
-    pub fn room_for_body(&self, headers: &HeaderMap, most: usize) -> Option<BodyRoom> {
+    pub fn reserve_body_memory(&self, headers: &HeaderMap, most: usize) -> Option<BodyReservation> {
         let length = headers::text(headers, header::CONTENT_LENGTH).and_then(|l| l.parse().ok());
         let has_body = headers.contains_key(header::TRANSFER_ENCODING);
         let bytes: usize = length.unwrap_or(if has_body { most } else { 0 }).min(most);
         let state = Arc::clone(&self.state);
         let before = state.held_bytes.fetch_add(bytes, Ordering::Relaxed);
-        let room = BodyRoom { state, bytes };
+        let room = BodyReservation { state, bytes };
         (before + bytes <= self.settings.held_bytes).then_some(room)
     }
 
     /// The answer to a request for which there is no room; it has not run.
     #[must_use]
-    pub fn no_room(&self, id: &str) -> Response<Body> {
+    pub fn refuse_for_memory(&self, id: &str) -> Response<Body> {
         self.refusal(id, Refusal::no_room())
     }
 
@@ -247,7 +247,7 @@
 
     /// Keeps a configuration for peers; returns whether it is newer than the one that was kept.
     #[must_use]
-    pub fn keep_table(&self, table: CachedTable) -> bool {
+    pub fn cache_table(&self, table: CachedTable) -> bool {
         let mut cache = self.write_cache();
         let kept = cache.table.as_ref();
         let is_newer = kept.is_none_or(|kept| kept.version < table.version);
@@ -260,7 +260,7 @@
     /// Keeps entries of the list of endpoints for peers; returns the revision at which the list
     /// changed last, if any of these entries has changed.
     #[must_use]
-    pub fn keep_endpoints(&self, entries: &[Entry], is_whole: bool, at: u64) -> Option<u64> {
+    pub fn cache_endpoints(&self, entries: &[Entry], is_whole: bool, at: u64) -> Option<u64> {
         let mut cache = self.write_cache();
         let has_changed = cache.take(entries, is_whole, at);
         has_changed.then_some(cache.endpoints_at)
--- a/src/gateway/shell/stop.rs
+++ b/src/gateway/shell/stop.rs
@@ -53,7 +53,7 @@
     shared.send(Input::Event(Event::Stop { grace })).await;
     record(shared, "stopping", String::new());
     tokio::time::sleep(NOTICED_AFTER.min(grace)).await;
-    shared.close_resting();
+    shared.close_idle_connections();
     tokio::time::sleep(CLOSING).await;
     let left = grace.saturating_sub(asked.elapsed());
     // What is still served at the end of the grace period is cut off.
--- a/src/gateway/shell/store.rs
+++ b/src/gateway/shell/store.rs
@@ -61,7 +61,7 @@
             was_reached = watcher.is_reached();
             record_reached(source, was_reached, &shared);
         }
-        if watcher.is_reached() && source.makes_a_watcher() {
+        if watcher.is_reached() && source.shows_store_access() {
             shared.send(Input::Event(Event::StoreAnswered)).await;
         }
         let mut pause = next.pause;
@@ -169,7 +169,7 @@
         shared: &GatewayShared,
     ) -> StoreAnswer {
         let dialect = &shared.dialect;
-        let watch = source.watch_wait(shared.settings.watch);
+        let watch = source.watch_timeout(shared.settings.watch);
         let patience = doubled(LIST_LIMIT, self.failures, MOST_LIST_DOUBLINGS);
         let (path, head_limit, is_watch) = match request {
             StoreRequest::List { after } => {
--- a/src/gateway/shell/table_reader.rs
+++ b/src/gateway/shell/table_reader.rs
@@ -54,7 +54,7 @@
     };
     let version = table.version();
     let text_bytes = packed.text_bytes;
-    let is_newer = shared.keep_table(CachedTable {
+    let is_newer = shared.cache_table(CachedTable {
         version,
         text: packed,
         read_at: source.read_at,
--- a/tests/gateway_parts.rs
+++ b/tests/gateway_parts.rs
@@ -9,7 +9,7 @@
 use magpiemoor::gateway::settings::{GatewaySettings, defaults};
 use magpiemoor::gateway::shell::decision_log::DecisionLog;
 use magpiemoor::gateway::shell::dialect::{Entry, ObjectKind, StorePage};
-use magpiemoor::gateway::shell::events::{EventCutter, RawEvent};
+use magpiemoor::gateway::shell::events::{EventSplitter, RawEvent};
 use magpiemoor::gateway::shell::headers;
 use magpiemoor::gateway::shell::watcher::{StoreAnswer, StoreChange, StoreRequest, Watcher};
 use magpiemoor::schema::{
@@ -24,16 +24,16 @@
 use rand_chacha::ChaCha8Rng;
 use rstest::rstest;
 
-fn cut(parts: &[&[u8]]) -> (Vec<RawEvent>, EventCutter) {
-    let mut cutter = EventCutter::default();
+fn cut(parts: &[&[u8]]) -> (Vec<RawEvent>, EventSplitter) {
+    let mut splitter = EventSplitter::default();
     let mut events = Vec::new();
     for part in parts {
-        cutter.push(part);
-        while let Some(event) = cutter.next_event().unwrap() {
+        splitter.push(part);
+        while let Some(event) = splitter.next_event().unwrap() {
             events.push(event);
         }
     }
-    (events, cutter)
+    (events, splitter)
 }
 
 /// A box whose lists and tables are stuck must not count as a watcher by what it hears of roll-outs.
@@ -44,12 +44,12 @@
 #[case::quarantine(ObjectKind::Quarantine, false, 3, 30)]
 fn orders_of_rollouts_are_watched_longer_and_make_no_watcher(
     #[case] kind: ObjectKind,
-    #[case] makes_a_watcher: bool,
+    #[case] shows_store_access: bool,
     #[case] seconds_of_three: u64,
     #[case] seconds_of_thirty: u64,
 ) {
-    let wait = |seconds| kind.watch_wait(Duration::from_secs(seconds)).as_secs();
-    assert_eq!(kind.makes_a_watcher(), makes_a_watcher);
+    let wait = |seconds| kind.watch_timeout(Duration::from_secs(seconds)).as_secs();
+    assert_eq!(kind.shows_store_access(), shows_store_access);
     assert_eq!(wait(3), seconds_of_three);
     assert_eq!(wait(30), seconds_of_thirty);
 }
@@ -64,12 +64,12 @@
 fn events_are_cut_whole(
     #[case] parts: &[&[u8]],
     #[case] ids: &[Option<u64>],
-    #[case] has_rest: bool,
+    #[case] has_incomplete_event: bool,
 ) {
-    let (events, cutter) = cut(parts);
+    let (events, splitter) = cut(parts);
     let found: Vec<Option<u64>> = events.iter().map(|e| e.id).collect();
     assert_eq!(found, ids);
-    assert_eq!(cutter.has_rest(), has_rest);
+    assert_eq!(splitter.has_incomplete_event(), has_incomplete_event);
 }
 
 proptest! {
@@ -234,7 +234,7 @@
     headers.insert("keep-alive", "timeout=5".parse().unwrap());
     headers.insert(header::TRANSFER_ENCODING, "chunked".parse().unwrap());
     headers.insert("x-other", "2".parse().unwrap());
-    let passed = headers::passed_on(&headers);
+    let passed = headers::end_to_end_headers(&headers);
     assert_eq!(passed.len(), 1);
     assert!(passed.contains_key("x-other"));
 }
