--- a/src/cli/explain.rs
+++ b/src/cli/explain.rs
@@ -1,4 +1,4 @@
-//! `magpiemoor explain`: the story of a request, or how all streams went, from the boxes' decision
+//! `magpiemoor explain`: the trace of a request, or how all streams went, from the boxes' decision
 //! logs.
 
 use std::collections::BTreeMap;
@@ -9,7 +9,7 @@
 use serde_json::json;
 
 use crate::cli::{CliError, Output};
-use crate::gateway::explain::{Story, read, stories};
+use crate::gateway::explain::{RequestTrace, read, traces};
 use crate::gateway::{placement_report, rollout_report, stream_report};
 
 /// Runs the command.
@@ -46,16 +46,16 @@
         return Err(CliError::Invalid(vec![line]));
     };
     let texts = read_logs(logs)?;
-    let story = tell(&texts).into_iter().find(|s| s.request == **request);
-    let story = story.ok_or_else(|| {
+    let trace = tell(&texts).into_iter().find(|s| s.request == **request);
+    let trace = trace.ok_or_else(|| {
         let line = format!("{request} stands in no log that was given; give those of all boxes");
         CliError::Invalid(vec![line])
     })?;
-    Ok(Output::new(story.text(), json!(story)))
+    Ok(Output::new(trace.text(), json!(trace)))
 }
 
-fn tell(texts: &[String]) -> Vec<Story> {
-    stories(&read(texts.iter().map(String::as_str)))
+fn tell(texts: &[String]) -> Vec<RequestTrace> {
+    traces(&read(texts.iter().map(String::as_str)))
 }
 
 /// Reads the logs that were named, or standard input.
@@ -75,13 +75,13 @@
 }
 
 /// Lists the requests that failed by cause.
-fn failed(stories: &[Story]) -> Output {
+fn failed(traces: &[RequestTrace]) -> Output {
     let mut by_cause: BTreeMap<_, Vec<&str>> = BTreeMap::new();
-    for story in stories.iter().filter(|s| s.cause.is_failure()) {
+    for trace in traces.iter().filter(|s| s.cause.is_failure()) {
         by_cause
-            .entry(story.cause)
+            .entry(trace.cause)
             .or_default()
-            .push(&story.request);
+            .push(&trace.request);
     }
     let mut text = String::new();
     for (cause, requests) in &by_cause {
--- a/src/gateway/explain.rs
+++ b/src/gateway/explain.rs
@@ -105,9 +105,9 @@
     }
 }
 
-/// The story of one request.
+/// The trace of one request.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Story {
+pub struct RequestTrace {
     /// The request.
     pub request: String,
     /// How it ended.
@@ -138,21 +138,21 @@
     Some(TimedLine { seconds, line })
 }
 
-/// Gathers the lines of each request into its story.
+/// Gathers the lines of each request into its trace.
 #[must_use]
-pub fn stories(lines: &[TimedLine]) -> Vec<Story> {
+pub fn traces(lines: &[TimedLine]) -> Vec<RequestTrace> {
     let mut by_request: BTreeMap<&str, Vec<TimedLine>> = BTreeMap::new();
     for line in lines {
         if let Some(request) = line.line.record.request() {
             by_request.entry(request).or_default().push(line.clone());
         }
     }
-    let stories = by_request.into_iter().map(|(request, lines)| Story {
+    let traces = by_request.into_iter().map(|(request, lines)| RequestTrace {
         request: request.to_owned(),
         cause: cause(&lines),
         lines,
     });
-    stories.collect()
+    traces.collect()
 }
 
 fn cause(lines: &[TimedLine]) -> Cause {
@@ -189,8 +189,8 @@
     }
 }
 
-impl Story {
-    /// The story for a person.
+impl RequestTrace {
+    /// The trace for a person.
     #[must_use]
     pub fn text(&self) -> String {
         let mut text = format!("request {}\n", self.request);
--- a/src/gateway/stream_report.rs
+++ b/src/gateway/stream_report.rs
@@ -14,7 +14,7 @@
 
 use crate::gateway::dispatch::fleet::usage::PREFILL_TOKENS_PER_MS;
 use crate::gateway::dispatch::record::Record;
-use crate::gateway::explain::{Cause, Story};
+use crate::gateway::explain::{Cause, RequestTrace};
 
 /// The longest pause between events that callers of the users' sites accept (their sheets).
 pub const LONGEST_PAUSE: Duration = Duration::from_millis(700);
@@ -182,49 +182,49 @@
     Snapshot,
 }
 
-/// Makes the report of all streams among some stories.
+/// Makes the report of all streams among some traces.
 #[must_use]
-pub fn report(stories: &[Story]) -> StreamReport {
+pub fn report(traces: &[RequestTrace]) -> StreamReport {
     let mut gathered = Gathered {
         report: StreamReport::default(),
         first_event: Times::new(),
         event: Times::new(),
         pauses: BTreeMap::new(),
     };
-    for story in stories.iter().filter(|story| is_stream(story)) {
-        gathered.add(story);
+    for trace in traces.iter().filter(|trace| is_stream(trace)) {
+        gathered.add(trace);
     }
     gathered.finish()
 }
 
-/// Whether a story is that of a stream: only prompts have tokens.
-fn is_stream(story: &Story) -> bool {
-    story.lines.iter().any(|line| {
+/// Whether a trace is that of a stream: only prompts have tokens.
+fn is_stream(trace: &RequestTrace) -> bool {
+    trace.lines.iter().any(|line| {
         matches!(&line.line.record, Record::Arrived { prompt, .. } if *prompt > 0)
             || matches!(&line.line.record, Record::Begun { .. })
     })
 }
 
 impl Gathered {
-    fn add(&mut self, story: &Story) {
+    fn add(&mut self, trace: &RequestTrace) {
         let mut progress = Progress::default();
-        for line in &story.lines {
+        for line in &trace.lines {
             self.read(&mut progress, &line.line.record);
         }
         self.report.streams += 1;
-        *self.report.ends.entry(story.cause).or_default() += 1;
+        *self.report.ends.entry(trace.cause).or_default() += 1;
         let pause = Duration::from_millis(progress.longest_pause_ms);
-        if pause <= LONGEST_PAUSE && !story.cause.is_failure() {
+        if pause <= LONGEST_PAUSE && !trace.cause.is_failure() {
             return;
         }
-        let Some(first) = story.lines.first() else {
+        let Some(first) = trace.lines.first() else {
             return;
         };
         self.report.disturbed.push(DisturbedStream {
-            request: story.request.clone(),
+            request: trace.request.clone(),
             r#box: first.line.r#box.clone(),
             arrived: first.seconds,
-            end: story.cause,
+            end: trace.cause,
             longest_pause_ms: progress.longest_pause_ms,
             last_event: progress.last_event,
             attempts: progress.attempts,
--- a/tests/explain.rs
+++ b/tests/explain.rs
@@ -5,7 +5,7 @@
 use magpiemoor::gateway::dispatch::event::Fault;
 use magpiemoor::gateway::dispatch::record::Record;
 use magpiemoor::gateway::dispatch::refusal::RefusalReason;
-use magpiemoor::gateway::explain::{Cause, LogLine, read, stories};
+use magpiemoor::gateway::explain::{Cause, LogLine, read, traces};
 use magpiemoor::schema::HybridTime;
 use rstest::rstest;
 
@@ -63,7 +63,7 @@
         .zip(records)
         .map(|(at, record)| line(at, "box-1", record))
         .collect();
-    stories(&read([lines.join("\n").as_str()]))[0].cause
+    traces(&read([lines.join("\n").as_str()]))[0].cause
 }
 
 #[rstest]
@@ -89,8 +89,8 @@
         line(20, "box-1", answered("q"))
     );
     let second = line(10, "box-2", arrived("q"));
-    let stories = stories(&read([first.as_str(), second.as_str()]));
-    let boxes: Vec<&str> = stories[0]
+    let traces = traces(&read([first.as_str(), second.as_str()]));
+    let boxes: Vec<&str> = traces[0]
         .lines
         .iter()
         .map(|l| l.line.r#box.as_str())
@@ -128,11 +128,11 @@
     ];
     std::fs::write(&log, lines.join("\n")).unwrap();
     let path = log.to_str().unwrap();
-    let (story, code) = magpiemoor(&["explain", "bad", path]);
+    let (trace, code) = magpiemoor(&["explain", "bad", path]);
     assert_eq!(code, Some(0));
     assert!(
-        story.ends_with(&format!("{}\n", Cause::NoEndpoint.sentence())),
-        "{story}"
+        trace.ends_with(&format!("{}\n", Cause::NoEndpoint.sentence())),
+        "{trace}"
     );
     let (failed, _) = magpiemoor(&["explain", "--failed", path]);
     assert!(
--- a/tests/stream_report.rs
+++ b/tests/stream_report.rs
@@ -1,7 +1,7 @@
 //! What the decision logs tell of streams as a whole.
 
 use magpiemoor::gateway::dispatch::record::Record;
-use magpiemoor::gateway::explain::{Cause, LogLine, read, stories};
+use magpiemoor::gateway::explain::{Cause, LogLine, read, traces};
 use magpiemoor::gateway::stream_report::{Continuation, StreamReport, report};
 use magpiemoor::schema::HybridTime;
 
@@ -91,7 +91,7 @@
         serde_json::to_string(&line).unwrap()
     });
     let text = lines.collect::<Vec<_>>().join("\n");
-    report(&stories(&read([text.as_str()])))
+    report(&traces(&read([text.as_str()])))
 }
 
 #[test]
