--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -1,9 +1,13 @@
-//! The entry box on the users' machines: a request belongs to the box that reads it.
+//! The gateway: the entry box on the users' machines. Each request is handled by the box that reads it.
 //!
-//! [`dispatch`] decides, without input or output; [`shell`] moves bytes and carries out what was
-//! decided; [`settings`] checks a box's settings file; [`explain`] and [`stream_report`] read the
-//! decision logs afterwards. What differs between the outsides that a gateway can stand between is behind
-//! [`shell::dialect::Dialect`]. The other form of an entry box is [`crate::keyed`].
+//! - [`dispatch`] makes all decisions; it does no I/O.
+//! - [`shell`] does the I/O and carries out the decisions. Differences between the protocols and
+//!   platforms that a gateway serves are confined to [`shell::dialect::Dialect`].
+//! - [`settings`] reads and checks the settings file of a box.
+//! - [`explain`], [`placement_report`], [`rollout_report`] and [`stream_report`] analyse the decision
+//!   logs of boxes offline.
+//!
+//! [`crate::keyed`] is the other form of an entry box.
 
 pub mod dispatch;
 pub mod explain;
--- a/src/gateway/explain.rs
+++ b/src/gateway/explain.rs
@@ -1,8 +1,11 @@
-//! Explains a request from the decision logs of several boxes: its records in order, and the cause
-//! in one sentence.
+//! Traces of requests, read from the decision logs of several boxes.
 //!
-//! The logs may be plain files or the output of a tool that puts a time and a name before each
-//! line; such a time goes before that of the line, since all lines have it from one clock.
+//! Input are the texts of decision logs. [`read`] merges their lines in order of time, [`traces`]
+//! groups them by request, and each trace names the cause of the request's end in one sentence.
+//!
+//! The logs may be plain files or the output of a tool that prefixes each line with a time and a
+//! name. The prefixed time takes precedence over the time in the line, since all prefixes come from
+//! one clock.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -17,106 +20,117 @@
 /// One line of a decision log.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct LogLine {
-    /// When it was written, comparable over all boxes.
+    /// Time of writing, comparable between boxes.
     pub at: HybridTime,
-    /// The box.
+    /// Name of the box that wrote the line.
     pub r#box: String,
-    /// What it wrote.
+    /// Decision that the line records.
     #[serde(flatten)]
     pub record: Record,
 }
 
-/// A line with the time that it is ordered by.
+/// A log line with the time by which it is sorted.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct TimedLine {
-    /// Seconds.
+    /// Time in seconds: that of the line's prefix if it has one, else that of the line.
     pub seconds: f64,
-    /// The line.
+    /// Line without its prefix.
     #[serde(flatten)]
     pub line: LogLine,
 }
 
-/// How a request ended.
+/// Cause of a request's end.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Cause {
-    /// It was answered.
+    /// The request was answered.
     Answered,
-    /// The endpoint's own answer was an error, and it was passed on.
+    /// The endpoint answered with an error status, which was passed on to the caller.
     EndpointError,
-    /// Its caller left.
-    CallerGone,
-    /// Its box had no configuration.
+    /// The caller disconnected before the answer was complete.
+    #[serde(rename = "caller_gone")]
+    CallerDisconnected,
+    /// The box had no configuration yet.
     NoConfiguration,
-    /// No route has its host and path.
+    /// No route matches the host and path.
     NoRoute,
-    /// Nobody holds its key.
+    /// No organisation has the caller's key.
     UnknownKey,
-    /// No endpoint could take it.
+    /// No endpoint could accept the request.
     NoEndpoint,
-    /// Its time was over before it ran.
+    /// The deadline passed before the request ran.
     ExpiredNotRun,
-    /// Its time was over, and it may have run.
+    /// The deadline passed after the request may have run.
     Expired,
-    /// The endpoint's connection broke, and it may not be repeated or no retry was left.
+    /// The connection to the endpoint broke, and the request may not be repeated or no retry was
+    /// left.
     ConnectionLost,
-    /// The endpoint fell silent, and it may not be repeated or no retry was left.
-    EndpointSilent,
-    /// The endpoint's answer was spoilt, and it may not be repeated or no retry was left.
-    AnswerSpoilt,
-    /// Endpoints ended under it, so it was sent to no more.
+    /// The endpoint stopped responding, and the request may not be repeated or no retry was left.
+    #[serde(rename = "endpoint_silent")]
+    EndpointUnresponsive,
+    /// The endpoint's answer was malformed or belonged to another request, and the request may not
+    /// be repeated or no retry was left.
+    #[serde(rename = "answer_spoilt")]
+    AnswerMalformed,
+    /// Endpoints crashed while they ran the request, so it is sent to no further endpoint.
     Quarantined,
-    /// Its box wrote no end: it was killed, lost power, or still serves it.
+    /// The log has no end of the request: the box was killed, lost power or still serves it.
     NoEnd,
 }
 
 impl Cause {
-    /// The cause in one sentence.
+    /// Returns the cause in one sentence.
     #[must_use]
     pub fn sentence(self) -> &'static str {
         match self {
-            Self::Answered => "It was answered.",
-            Self::EndpointError => "The endpoint answered with an error of its own.",
-            Self::CallerGone => "The caller left before the answer was complete.",
-            Self::NoConfiguration => "The box had read no configuration yet.",
-            Self::Quarantined => "Endpoints ended under it, so it is quarantined.",
-            Self::NoRoute => "No route of the configuration in force has its host and path.",
-            Self::UnknownKey => "Nobody holds its key in the configuration in force.",
-            Self::NoEndpoint => "No endpoint of its service could take it; it has not run.",
-            Self::ExpiredNotRun => "Its time was over before any endpoint took it; it has not run.",
-            Self::Expired => "Its time was over while an endpoint worked on it.",
+            Self::Answered => "The request was answered.",
+            Self::EndpointError => "The endpoint answered with an error status.",
+            Self::CallerDisconnected => "The caller disconnected before the answer was complete.",
+            Self::NoConfiguration => "The box had not read a configuration yet.",
+            Self::Quarantined => {
+                "The request is quarantined because endpoints crashed while they ran it."
+            }
+            Self::NoRoute => "No route of the configuration in force matches its host and path.",
+            Self::UnknownKey => "No organisation of the configuration in force has its key.",
+            Self::NoEndpoint => "No endpoint of its service could accept it; it has not run.",
+            Self::ExpiredNotRun => {
+                "Its deadline passed before an endpoint accepted it; it has not run."
+            }
+            Self::Expired => "Its deadline passed while an endpoint processed it.",
             Self::ConnectionLost => {
-                "The connection to the endpoint broke after it was sent, and it could not be repeated."
+                "The connection to the endpoint broke after the request was sent, and it could not be retried."
+            }
+            Self::EndpointUnresponsive => {
+                "The endpoint stopped responding after the request was sent, and it could not be retried."
             }
-            Self::EndpointSilent => {
-                "The endpoint fell silent after it was sent, and it could not be repeated."
+            Self::AnswerMalformed => {
+                "The endpoint's answer was invalid, and the request could not be retried."
             }
-            Self::AnswerSpoilt => "The endpoint's answer was spoilt, and it could not be repeated.",
             Self::NoEnd => {
-                "Its box wrote no end of it: the box was killed or lost power, or serves it still."
+                "The log has no end of the request: its box was killed, lost power or still serves it."
             }
         }
     }
 
-    /// Whether the caller got less than its answer.
+    /// Whether the caller did not receive a complete, successful answer.
     #[must_use]
     pub fn is_failure(self) -> bool {
         !matches!(self, Self::Answered)
     }
 }
 
-/// The trace of one request.
+/// The log lines of one request and the cause of its end.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct RequestTrace {
-    /// The request.
+    /// Request id.
     pub request: String,
-    /// How it ended.
+    /// Cause of the request's end.
     pub cause: Cause,
-    /// Its lines, in order.
+    /// Lines of all boxes in order of time.
     pub lines: Vec<TimedLine>,
 }
 
-/// Reads decision logs; lines that are none are left out.
+/// Parses decision logs and sorts their lines by time. Lines that are not log lines are ignored.
 #[must_use]
 pub fn read<'a>(texts: impl IntoIterator<Item = &'a str>) -> Vec<TimedLine> {
     let lines = texts.into_iter().flat_map(str::lines);
@@ -138,7 +152,7 @@
     Some(TimedLine { seconds, line })
 }
 
-/// Gathers the lines of each request into its trace.
+/// Groups the lines by request; the traces are sorted by request id.
 #[must_use]
 pub fn traces(lines: &[TimedLine]) -> Vec<RequestTrace> {
     let mut by_request: BTreeMap<&str, Vec<TimedLine>> = BTreeMap::new();
@@ -165,7 +179,7 @@
             Some(Cause::EndpointError)
         }
         Record::Answered { .. } => Some(Cause::Answered),
-        Record::CallerGone { .. } => Some(Cause::CallerGone),
+        Record::CallerGone { .. } => Some(Cause::CallerDisconnected),
         Record::Refused { reason, fault, .. } => Some(refusal_cause(*reason, *fault)),
         _ => None,
     });
@@ -181,25 +195,29 @@
         (RefusalReason::ExpiredNotRun, _) => Cause::ExpiredNotRun,
         (RefusalReason::Expired, _) => Cause::Expired,
         (RefusalReason::Quarantined, _) => Cause::Quarantined,
-        (RefusalReason::EndpointFailed, Some(Fault::Silent)) => Cause::EndpointSilent,
+        (RefusalReason::EndpointFailed, Some(Fault::Silent)) => Cause::EndpointUnresponsive,
         (RefusalReason::EndpointFailed, Some(Fault::Malformed | Fault::Foreign)) => {
-            Cause::AnswerSpoilt
+            Cause::AnswerMalformed
         }
         (RefusalReason::EndpointFailed, _) => Cause::ConnectionLost,
     }
 }
 
 impl RequestTrace {
-    /// The trace for a person.
+    /// Formats the trace as text: one line per record with its time after the first, then the cause.
     #[must_use]
     pub fn text(&self) -> String {
         let mut text = format!("request {}\n", self.request);
         let start = self.lines.first().map_or(0.0, |line| line.seconds);
         for line in &self.lines {
-            let after = (line.seconds - start) * 1_000.0;
-            let said = line.line.record.sentence();
-            // Writing to a string does not fail.
-            let _ = writeln!(text, "  {after:>9.1} ms  {}  {said}", line.line.r#box);
+            let after_ms = (line.seconds - start) * 1_000.0;
+            let sentence = line.line.record.sentence();
+            // Writing to a `String` cannot fail.
+            let _ = writeln!(
+                text,
+                "  {after_ms:>9.1} ms  {}  {sentence}",
+                line.line.r#box
+            );
         }
         text.push_str(self.cause.sentence());
         text
--- a/src/gateway/placement_report.rs
+++ b/src/gateway/placement_report.rs
@@ -1,9 +1,12 @@
-//! What boxes believed of endpoints when they placed attempts, against what was so.
+//! Compares the load that boxes assumed when they placed attempts with the actual load.
 //!
-//! The truth is counted from all boxes' lines: an attempt runs from its `sent` to its `ended`, and
-//! reads its prompt until its first event. A box that starts anew has lost what it ran. An endpoint
-//! counts as there while an answer or an event of it is no older than [`SEEN_FOR`], so that room at
-//! one that nobody uses is not seen, and what is said of sends to full endpoints is a least figure.
+//! Input are the decision log lines of all boxes in order of time. The report replays them: an
+//! attempt runs from its `sent` record to its `ended` record, and its prompt is in prefill until its
+//! first event. The attempts of a box end when the box restarts, since it has lost them.
+//!
+//! An endpoint counts as present if its last answer or event is no older than [`PRESENT_FOR_S`].
+//! Free slots at an endpoint without traffic are therefore not seen, and the counts of attempts that
+//! were sent to a full endpoint while another had room are lower bounds.
 
 use std::collections::{BTreeMap, HashMap};
 use std::fmt::Write;
@@ -13,115 +16,119 @@
 use crate::gateway::dispatch::record::{Record, STARTED, WATCHES_STORE};
 use crate::gateway::explain::TimedLine;
 
-/// How long an endpoint counts as there after it was heard, in seconds: longer than a pause between
-/// two calls of a service that is in use, shorter than a restart with its new id stays unseen.
-const SEEN_FOR: f64 = 2.0;
-/// The longest time that an attempt counts as running whose end no box wrote, in seconds.
-const LONGEST_RUN: f64 = 30.0;
+/// Time for which an endpoint counts as present after an answer or event, in seconds. It is longer
+/// than the pauses between calls of a service in use, and shorter than the time until the endpoint is
+/// seen under its new id after a restart.
+const PRESENT_FOR_S: f64 = 2.0;
+/// Maximum time for which an attempt without a recorded end counts as running, in seconds.
+const MAX_ATTEMPT_S: f64 = 30.0;
 
-/// Attempts at the endpoints of one service.
+/// Counts of the attempts at the endpoints of one service.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct ServicePlacement {
-    /// Attempts that were begun.
+    /// Number of attempts.
     pub sent: u64,
-    /// Those at an endpoint of the box's own failure domain.
+    /// Attempts at an endpoint in the box's own failure domain.
     pub near: u64,
-    /// Attempts that ran at the chosen endpoint, on average.
+    /// Mean number of attempts that ran at the chosen endpoint.
     pub running: f64,
-    /// Those that the box knew of, on average.
+    /// Mean number of attempts that the box assumed to run at the chosen endpoint.
     pub running_believed: f64,
-    /// Attempts at an endpoint without a free slot.
+    /// Attempts at an endpoint that had no free slot.
     pub full: u64,
-    /// Those of them while another endpoint had one.
+    /// Attempts at a full endpoint while another endpoint had a free slot.
     pub full_with_room_elsewhere: u64,
-    /// Those of them while another one of the box's own failure domain had one.
+    /// Attempts at a full endpoint while another one in the box's own failure domain had a free slot.
     pub full_with_room_near: u64,
-    /// Attempts that read a prompt.
+    /// Attempts that started with a prefill.
     pub prompts: u64,
-    /// Those at an endpoint that read another one.
+    /// Prefills at an endpoint where another prefill was in progress.
     pub beside_a_prompt: u64,
-    /// Those of them while an endpoint of the box's own failure domain read none.
+    /// Prefills beside another one while an endpoint in the box's own failure domain had none.
     pub beside_a_prompt_with_room_near: u64,
 }
 
-/// A box that began to watch the platform's store.
+/// The start of a box's watch of the platform's store.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct StoreWatch {
-    /// When, in seconds of the logs.
+    /// Time in seconds of the logs.
     pub seconds: f64,
-    /// The box.
+    /// Name of the box.
     pub r#box: String,
-    /// Why.
+    /// Reason, as recorded.
     pub why: String,
 }
 
-/// How attempts were placed, and who watched the store.
+/// Placement of attempts, and the boxes that watched the store.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct PlacementReport {
-    /// Attempts by service.
+    /// Counts by service.
     pub services: BTreeMap<String, ServicePlacement>,
-    /// Who began to watch the store, in order.
+    /// Starts of store watches in order of time.
     pub store: Vec<StoreWatch>,
 }
 
-/// An attempt that runs.
+/// An attempt in progress.
 #[derive(Debug)]
-struct Run {
+struct RunningAttempt {
     r#box: String,
-    since: f64,
-    reads_prompt: bool,
+    started: f64,
+    in_prefill: bool,
 }
 
-/// What is so at an endpoint.
+/// Replayed state of an endpoint.
 #[derive(Debug, Default)]
 struct Endpoint {
     service: String,
     domain: String,
     slots: usize,
-    seen: f64,
-    /// By request and attempt.
-    runs: HashMap<(String, u32), Run>,
+    /// Time of the last answer or event.
+    last_seen: f64,
+    /// By request id and attempt number.
+    attempts: HashMap<(String, u32), RunningAttempt>,
 }
 
 impl Endpoint {
     fn running(&self) -> usize {
-        self.runs.len()
+        self.attempts.len()
     }
 
-    fn reads_prompt(&self) -> bool {
-        self.runs.values().any(|run| run.reads_prompt)
+    fn in_prefill(&self) -> bool {
+        self.attempts.values().any(|attempt| attempt.in_prefill)
     }
 
-    fn is_there(&self, now: f64) -> bool {
-        now - self.seen <= SEEN_FOR
+    fn is_present(&self, now: f64) -> bool {
+        now - self.last_seen <= PRESENT_FOR_S
     }
 }
 
-/// Where boxes stand, and what runs.
+/// State of the fleet at the current line of the replay.
 #[derive(Debug, Default)]
-struct Fleet {
+struct FleetReplay {
     endpoints: BTreeMap<String, Endpoint>,
+    /// Failure domains by box.
     domains: HashMap<String, String>,
+    /// Prompt lengths in tokens by request id.
     prompts: HashMap<String, u32>,
     report: PlacementReport,
 }
 
-/// Makes the report of some lines, which are in order.
+/// Creates the report from lines that are sorted by time.
 #[must_use]
 pub fn report(lines: &[TimedLine]) -> PlacementReport {
-    let mut fleet = Fleet::default();
+    let mut replay = FleetReplay::default();
     for line in lines {
-        fleet.read(line.seconds, &line.line.r#box, &line.line.record);
+        replay.read(line.seconds, &line.line.r#box, &line.line.record);
     }
-    for placement in fleet.report.services.values_mut() {
+    for placement in replay.report.services.values_mut() {
         let sent = placement.sent.max(1) as f64;
         placement.running /= sent;
         placement.running_believed /= sent;
     }
-    fleet.report
+    replay.report
 }
 
-impl Fleet {
+impl FleetReplay {
     fn read(&mut self, now: f64, r#box: &str, record: &Record) {
         match record {
             Record::Arrived {
@@ -147,15 +154,15 @@
                 let Some(endpoint) = self.endpoints.get_mut(endpoint) else {
                     return;
                 };
-                endpoint.runs.remove(&(request.clone(), *attempt));
+                endpoint.attempts.remove(&(request.clone(), *attempt));
                 if outcome == "answered" || outcome == "stream_ended" {
-                    endpoint.seen = now;
+                    endpoint.last_seen = now;
                 }
             }
             Record::Process { state, detail } if state == STARTED => {
                 self.domains.insert(r#box.to_owned(), detail.clone());
                 for endpoint in self.endpoints.values_mut() {
-                    endpoint.runs.retain(|_, run| run.r#box != *r#box);
+                    endpoint.attempts.retain(|_, a| a.r#box != *r#box);
                 }
             }
             Record::Process { state, detail } if state == WATCHES_STORE => {
@@ -173,10 +180,10 @@
         let Some(endpoint) = self.endpoints.get_mut(endpoint) else {
             return;
         };
-        endpoint.seen = now;
-        for ((of, _), run) in &mut endpoint.runs {
+        endpoint.last_seen = now;
+        for ((of, _), attempt) in &mut endpoint.attempts {
             if of == request {
-                run.reads_prompt = false;
+                attempt.in_prefill = false;
             }
         }
     }
@@ -191,7 +198,7 @@
             is_near,
             slots,
             from_backup,
-            running: believed,
+            running: assumed,
             ..
         } = record
         else {
@@ -201,72 +208,80 @@
         chosen.service.clone_from(service);
         chosen.domain.clone_from(domain);
         chosen.slots = *slots as usize;
-        chosen.runs.retain(|_, run| now - run.since < LONGEST_RUN);
+        chosen
+            .attempts
+            .retain(|_, a| now - a.started < MAX_ATTEMPT_S);
         let has_prompt = self.prompts.get(request).is_some_and(|tokens| *tokens > 0);
-        let reads_prompt = has_prompt && !from_backup;
-        let home = if *is_near {
+        let in_prefill = has_prompt && !from_backup;
+        let own_domain = if *is_near {
             Some(domain)
         } else {
             self.domains.get(r#box)
         };
-        let others = self.others(id, service, home, now);
+        let others = self.others(id, service, own_domain, now);
         let placement = self.report.services.entry(service.clone()).or_default();
         placement.sent += 1;
         placement.near += u64::from(*is_near);
-        placement.running_believed += f64::from(*believed);
+        placement.running_believed += f64::from(*assumed);
         let Some(chosen) = self.endpoints.get_mut(id) else {
             return;
         };
-        placement.count(chosen, others, reads_prompt);
-        let run = Run {
+        placement.count(chosen, others, in_prefill);
+        let running = RunningAttempt {
             r#box: r#box.to_owned(),
-            since: now,
-            reads_prompt,
+            started: now,
+            in_prefill,
         };
-        chosen.runs.insert((request.clone(), *attempt), run);
+        chosen.attempts.insert((request.clone(), *attempt), running);
     }
 
-    /// What the endpoints of a service had to offer besides the chosen one.
-    fn others(&self, chosen: &str, service: &str, home: Option<&String>, now: f64) -> Others {
-        let mut found = Others::default();
+    /// Summarises the present endpoints of a service other than the chosen one.
+    fn others(
+        &self,
+        chosen: &str,
+        service: &str,
+        own_domain: Option<&String>,
+        now: f64,
+    ) -> OtherEndpoints {
+        let mut found = OtherEndpoints::default();
         let others = self
             .endpoints
             .iter()
-            .filter(|(id, e)| id.as_str() != chosen && e.service == service && e.is_there(now));
+            .filter(|(id, e)| id.as_str() != chosen && e.service == service && e.is_present(now));
         for (_, endpoint) in others {
-            let is_home = home.is_some_and(|home| endpoint.domain == *home);
+            let is_local = own_domain.is_some_and(|domain| endpoint.domain == *domain);
             let has_room = endpoint.running() < endpoint.slots;
             found.has_room |= has_room;
-            found.has_room_near |= has_room && is_home;
-            found.reads_none_near |= is_home && !endpoint.reads_prompt();
+            found.has_local_room |= has_room && is_local;
+            found.has_local_without_prefill |= is_local && !endpoint.in_prefill();
         }
         found
     }
 }
 
-/// What other endpoints had to offer.
+/// Capacity at the endpoints that were not chosen.
 #[derive(Clone, Copy, Debug, Default)]
-struct Others {
-    /// One of them had a free slot.
+struct OtherEndpoints {
+    /// At least one had a free slot.
     has_room: bool,
-    /// One of the box's own failure domain had.
-    has_room_near: bool,
-    /// One of the box's own failure domain read no prompt.
-    reads_none_near: bool,
+    /// At least one in the box's own failure domain had a free slot.
+    has_local_room: bool,
+    /// At least one in the box's own failure domain had no prefill in progress.
+    has_local_without_prefill: bool,
 }
 
 impl PlacementReport {
-    /// The report as a table for a person.
+    /// Formats the report as a table.
     #[must_use]
     pub fn text(&self) -> String {
         let mut text = String::new();
         for (service, placement) in &self.services {
-            // Writing to a string does not fail.
+            // Writing to a `String` cannot fail.
             let _ = writeln!(text, "{service}");
             placement.write(&mut text);
         }
-        let _ = writeln!(text, "boxes that began to watch the store");
-        for (why, watches) in self.watches_by_cause() {
+        let _ = writeln!(text, "boxes that started to watch the store");
+        for (why, watches) in self.watches_by_reason() {
             let seconds: Vec<String> = watches.iter().map(|at| format!("{at:.1}")).collect();
             let count = watches.len();
             let _ = writeln!(text, "{count:>8}  {why}, at {} s", seconds.join(" "));
@@ -274,7 +289,7 @@
         text.trim_end().to_owned()
     }
 
-    fn watches_by_cause(&self) -> BTreeMap<&str, Vec<f64>> {
+    fn watches_by_reason(&self) -> BTreeMap<&str, Vec<f64>> {
         let mut found: BTreeMap<&str, Vec<f64>> = BTreeMap::new();
         for watch in &self.store {
             found.entry(&watch.why).or_default().push(watch.seconds);
@@ -284,18 +299,18 @@
 }
 
 impl ServicePlacement {
-    /// Counts an attempt at an endpoint, as that was before it.
-    fn count(&mut self, chosen: &Endpoint, others: Others, reads_prompt: bool) {
+    /// Counts an attempt at an endpoint, given the endpoint's state before the attempt.
+    fn count(&mut self, chosen: &Endpoint, others: OtherEndpoints, in_prefill: bool) {
         self.running += chosen.running() as f64;
         if chosen.running() >= chosen.slots {
             self.full += 1;
             self.full_with_room_elsewhere += u64::from(others.has_room);
-            self.full_with_room_near += u64::from(others.has_room_near);
+            self.full_with_room_near += u64::from(others.has_local_room);
         }
-        self.prompts += u64::from(reads_prompt);
-        if reads_prompt && chosen.reads_prompt() {
+        self.prompts += u64::from(in_prefill);
+        if in_prefill && chosen.in_prefill() {
             self.beside_a_prompt += 1;
-            self.beside_a_prompt_with_room_near += u64::from(others.reads_none_near);
+            self.beside_a_prompt_with_room_near += u64::from(others.has_local_without_prefill);
         }
     }
 
@@ -306,34 +321,34 @@
             ("in the box's own failure domain", self.near, self.sent),
             ("at an endpoint without a free slot", self.full, self.sent),
             (
-                "  while another one had room",
+                "  while another one had a free slot",
                 self.full_with_room_elsewhere,
                 self.sent,
             ),
             (
-                "  while one of the own domain had room",
+                "  while one in the own domain had a free slot",
                 self.full_with_room_near,
                 self.sent,
             ),
-            ("that read a prompt", self.prompts, self.sent),
+            ("that started with a prefill", self.prompts, self.sent),
             (
-                "  beside another prompt",
+                "  while another prefill was in progress there",
                 self.beside_a_prompt,
                 self.prompts,
             ),
             (
-                "  while one of the own domain read none",
+                "  and an endpoint in the own domain had none",
                 self.beside_a_prompt_with_room_near,
                 self.prompts,
             ),
         ];
-        for (what, count, of) in rows {
-            // Writing to a string does not fail.
-            let _ = writeln!(text, "{count:>8}  {:>5.1}%  {what}", share(count, of));
+        for (label, count, of) in rows {
+            // Writing to a `String` cannot fail.
+            let _ = writeln!(text, "{count:>8}  {:>5.1}%  {label}", share(count, of));
         }
         let _ = writeln!(
             text,
-            "{:>8.2}  ran at the chosen endpoint, {:.2} of them were known",
+            "{:>8.2}  attempts ran at the chosen endpoint on average, {:.2} as the box assumed",
             self.running, self.running_believed
         );
     }
--- a/src/gateway/rollout_report.rs
+++ b/src/gateway/rollout_report.rs
@@ -1,5 +1,8 @@
-//! How roll-outs went, from the decision logs of the boxes: which box entered a phase first and why,
-//! how many followed and until when, and who wrote the status.
+//! Summary of roll-outs, from the decision logs of the boxes.
+//!
+//! For each phase of a roll-out the report names the first box that entered it and its reason, the
+//! number of boxes that entered it, and the time of the last one. It also lists the writes of a
+//! roll-out's status.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
@@ -9,48 +12,48 @@
 use crate::gateway::dispatch::record::{ROLLOUT_STATUS, Record};
 use crate::gateway::explain::TimedLine;
 
-/// A phase of a roll-out, over all boxes.
+/// A phase of a roll-out across all boxes.
 #[derive(Clone, Debug, Serialize)]
 pub struct PhaseReport {
-    /// The service.
+    /// Service that is rolled out.
     pub service: String,
-    /// The version.
+    /// Version that is rolled out.
     pub target: String,
-    /// The phase.
+    /// Name of the phase in the decision log.
     pub phase: String,
-    /// When the first box entered it, in seconds.
+    /// Time at which the first box entered the phase, in seconds of the logs.
     pub first: f64,
-    /// That box.
+    /// Box that entered the phase first.
     pub first_box: String,
-    /// What it held against the version, or for it.
+    /// Reason for which the first box entered the phase.
     pub why: String,
-    /// When the last box entered it.
+    /// Time of the last record of the phase, in seconds of the logs.
     pub last: f64,
-    /// How many boxes did.
+    /// Number of boxes that entered the phase.
     pub boxes: usize,
 }
 
-/// A status that was written, or tried.
+/// A successful or failed write of a roll-out's status.
 #[derive(Clone, Debug, Serialize)]
 pub struct StatusReport {
-    /// When, in seconds.
+    /// Time in seconds of the logs.
     pub seconds: f64,
-    /// By which box.
+    /// Box that wrote the status.
     pub r#box: String,
-    /// What, and what came of it.
+    /// Status and the result of the write, as recorded.
     pub detail: String,
 }
 
-/// How roll-outs went.
+/// Summary of the roll-outs in the logs.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct RolloutReport {
-    /// Phases in order of their beginning.
+    /// Phases in order of their first record.
     pub phases: Vec<PhaseReport>,
-    /// Statuses that were written.
+    /// Writes of a status in order of time.
     pub statuses: Vec<StatusReport>,
 }
 
-/// Reads the report from the lines of all boxes, in order of time.
+/// Creates the report from the lines of all boxes, sorted by time.
 #[must_use]
 pub fn report(lines: &[TimedLine]) -> RolloutReport {
     let mut report = RolloutReport::default();
@@ -66,8 +69,8 @@
                 let is_same = |p: &PhaseReport| {
                     p.service == *service && p.target == *target && p.phase == *phase
                 };
-                let place = report.phases.iter().position(is_same);
-                let place = place.unwrap_or_else(|| {
+                let index = report.phases.iter().position(is_same);
+                let index = index.unwrap_or_else(|| {
                     report.phases.push(PhaseReport {
                         service: service.clone(),
                         target: target.clone(),
@@ -80,8 +83,8 @@
                     });
                     report.phases.len() - 1
                 });
-                boxes.entry(place).or_default().insert(&timed.line.r#box);
-                report.phases[place].last = timed.seconds;
+                boxes.entry(index).or_default().insert(&timed.line.r#box);
+                report.phases[index].last = timed.seconds;
             }
             Record::Process { state, detail } if state == ROLLOUT_STATUS => {
                 report.statuses.push(StatusReport {
@@ -93,19 +96,19 @@
             _ => {}
         }
     }
-    for (place, boxes) in boxes {
-        report.phases[place].boxes = boxes.len();
+    for (index, boxes) in boxes {
+        report.phases[index].boxes = boxes.len();
     }
     report
 }
 
 impl RolloutReport {
-    /// The report for a person.
+    /// Formats the report as text.
     #[must_use]
     pub fn text(&self) -> String {
         let mut text = String::new();
         for phase in &self.phases {
-            // Writing to a string does not fail.
+            // Writing to a `String` cannot fail.
             let _ = writeln!(
                 text,
                 "{:.3} s  {} to {}: {} at {}, {} boxes until {:.3} s: {}",
@@ -127,7 +130,7 @@
             );
         }
         if text.is_empty() {
-            text.push_str("no roll-out stands in these logs");
+            text.push_str("these logs contain no roll-out");
         }
         text.trim_end().to_owned()
     }
--- a/src/gateway/settings.rs
+++ b/src/gateway/settings.rs
@@ -1,4 +1,8 @@
-//! The settings of a gateway box: the settings file and the defaults meet in one checked struct.
+//! Settings of a gateway box.
+//!
+//! Input is a settings file; [`defaults`] fills in the fields that it lacks. Every field is checked
+//! against its range, and all errors of a file are returned together. The result is a
+//! [`GatewaySettings`], whose values need no further check.
 
 use std::net::{IpAddr, SocketAddr};
 use std::path::Path;
@@ -12,70 +16,71 @@
 use crate::schema::{BoxId, DomainId, GatewaySettingsFile};
 use crate::settings::{Checker, SettingsError, file};
 
-/// The least share of requests that a version may be tried with: with a share of 0 a roll-out would
-/// stay unjudged for ever.
-const LEAST_ROLLOUT_SHARE: f64 = 0.001;
-/// The greatest number of requests that a version may get beyond its share.
-const MOST_ROLLOUT_RESERVE: f64 = 1e6;
+/// Minimum share of requests for a new version. With a share of 0 a roll-out would never get a
+/// verdict.
+const MIN_ROLLOUT_SHARE: f64 = 0.001;
+/// Maximum number of requests for a new version in addition to its share.
+const MAX_ROLLOUT_RESERVE: f64 = 1e6;
 
-/// The least and the greatest length of a window of usage and time for its report, in seconds.
-const USAGE_TIMES: (f64, f64) = (0.1, 86_400.0);
-/// The least and the greatest length of a lease, in milliseconds.
-const LEASES: (u64, u64) = (500, 600_000);
+/// Allowed range of the length of a usage window and of the time for its report, in seconds.
+const USAGE_TIME_RANGE_S: (f64, f64) = (0.1, 86_400.0);
+/// Allowed range of the duration of a lease, in milliseconds.
+const LEASE_RANGE_MS: (u64, u64) = (500, 600_000);
 
-/// How usage is reported.
+/// Settings of usage reports.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct UsageSettings {
-    /// Where.
+    /// Address to which reports are sent.
     pub address: SocketAddr,
-    /// When, and by whom.
+    /// Length of the windows, deadline of the reports and lease of the box that sends them.
     pub policy: DutyPolicy,
 }
 
-/// The checked settings of a gateway box.
+/// Checked settings of a gateway box.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GatewaySettings {
-    /// This box.
+    /// Name of this box, unique in the fleet.
     pub box_id: BoxId,
-    /// Its failure domain.
+    /// Failure domain of this box.
     pub domain: DomainId,
-    /// Where callers connect.
+    /// Address that callers connect to.
     pub callers: SocketAddr,
-    /// Where readiness is asked for.
+    /// Address of the readiness check.
     pub health: SocketAddr,
-    /// Where metrics are read.
+    /// Address at which metrics are served.
     pub metrics: SocketAddr,
-    /// Where other boxes connect, by UDP and TCP.
+    /// Address for other boxes, over UDP and TCP.
     pub peers_address: SocketAddr,
-    /// Boxes to speak to first.
+    /// Boxes to which the first gossip is sent.
     pub seeds: Vec<SocketAddr>,
-    /// The platform's store.
+    /// Address of the platform's store.
     pub platform: SocketAddr,
-    /// How many boxes share the retry budget at least.
+    /// Minimum number of boxes among which the retry budget is divided, from 1 to 10,000.
     pub fleet_boxes: usize,
-    /// How retries are bounded.
+    /// Bounds on retries.
     pub retries: RetryPolicy,
-    /// How long a stop may take.
+    /// Maximum duration of a graceful stop, from 0 to 3,600 s.
     pub stop_grace: Duration,
-    /// Whether the fleet starts for the first time.
+    /// Whether the fleet starts for the first time, so that no caller can have lost a box before.
     pub first_start: bool,
-    /// What a version may get of its service's requests before its order's time is over.
+    /// Limit on the requests that a version may get before the time of its roll-out order has
+    /// passed.
     pub exposure: ExposureLimit,
-    /// How usage is reported, if it is.
+    /// Usage reports; `None` if usage is not reported.
     pub usage: Option<UsageSettings>,
-    /// Time between messages to peers.
+    /// Interval between gossip messages, from 20 ms to 60 s.
     pub gossip: Duration,
-    /// How long a watch waits.
+    /// Timeout of a watch request to the platform's store, from 100 ms to 30 s.
     pub watch: Duration,
-    /// Bytes of bodies that are held at once.
+    /// Maximum total size of buffered request bodies in bytes, from 64 KiB to 1 TiB.
     pub held_bytes: usize,
-    /// Threads that move bytes.
+    /// Number of threads that serve connections, from 1 to 64.
     pub traffic_threads: usize,
-    /// How much is logged.
+    /// Level of the process log.
     pub log_level: LevelFilter,
 }
 
-/// The settings that hold where the file gives none.
+/// Returns the settings that apply where the file gives no value.
 #[must_use]
 pub fn defaults() -> GatewaySettingsFile {
     GatewaySettingsFile {
@@ -107,11 +112,11 @@
     }
 }
 
-/// Reads and checks the settings file at `path`; fields that it lacks have their defaults.
+/// Reads and checks the settings file at `path`; missing fields get their defaults.
 ///
 /// # Errors
 ///
-/// All faults at once, each with the field, its value and the remedy.
+/// Returns all errors of the file, each with the field, its value and a remedy.
 pub fn read(path: &Path) -> Result<GatewaySettings, Vec<SettingsError>> {
     let text = std::fs::read_to_string(path).map_err(|e| {
         let remedy = format!("{e}; name a readable settings file");
@@ -124,34 +129,34 @@
     GatewaySettings::try_from(file::parse_as::<GatewaySettingsFile>(&text)?)
 }
 
-/// Lays settings over others: what `upper` gives, wins.
-fn overlay(upper: GatewaySettingsFile, lower: GatewaySettingsFile) -> GatewaySettingsFile {
+/// Merges two sets of settings; values of `file` take precedence over those of `fallback`.
+fn merge(file: GatewaySettingsFile, fallback: GatewaySettingsFile) -> GatewaySettingsFile {
     GatewaySettingsFile {
-        box_id: upper.box_id.or(lower.box_id),
-        domain: upper.domain.or(lower.domain),
-        callers: upper.callers.or(lower.callers),
-        health: upper.health.or(lower.health),
-        metrics: upper.metrics.or(lower.metrics),
-        peers_address: upper.peers_address.or(lower.peers_address),
-        seeds: upper.seeds,
-        platform: upper.platform.or(lower.platform),
-        fleet_boxes: upper.fleet_boxes.or(lower.fleet_boxes),
-        retry_ratio: upper.retry_ratio.or(lower.retry_ratio),
-        retry_reserve: upper.retry_reserve.or(lower.retry_reserve),
-        retry_window_s: upper.retry_window_s.or(lower.retry_window_s),
-        stop_grace_s: upper.stop_grace_s.or(lower.stop_grace_s),
-        first_start: upper.first_start.or(lower.first_start),
-        rollout_share: upper.rollout_share.or(lower.rollout_share),
-        rollout_reserve: upper.rollout_reserve.or(lower.rollout_reserve),
-        usage_reports: upper.usage_reports.or(lower.usage_reports),
-        usage_window_s: upper.usage_window_s.or(lower.usage_window_s),
-        usage_late_s: upper.usage_late_s.or(lower.usage_late_s),
-        lease_ms: upper.lease_ms.or(lower.lease_ms),
-        gossip_ms: upper.gossip_ms.or(lower.gossip_ms),
-        watch_ms: upper.watch_ms.or(lower.watch_ms),
-        held_bytes: upper.held_bytes.or(lower.held_bytes),
-        traffic_threads: upper.traffic_threads.or(lower.traffic_threads),
-        log_level: upper.log_level.or(lower.log_level),
+        box_id: file.box_id.or(fallback.box_id),
+        domain: file.domain.or(fallback.domain),
+        callers: file.callers.or(fallback.callers),
+        health: file.health.or(fallback.health),
+        metrics: file.metrics.or(fallback.metrics),
+        peers_address: file.peers_address.or(fallback.peers_address),
+        seeds: file.seeds,
+        platform: file.platform.or(fallback.platform),
+        fleet_boxes: file.fleet_boxes.or(fallback.fleet_boxes),
+        retry_ratio: file.retry_ratio.or(fallback.retry_ratio),
+        retry_reserve: file.retry_reserve.or(fallback.retry_reserve),
+        retry_window_s: file.retry_window_s.or(fallback.retry_window_s),
+        stop_grace_s: file.stop_grace_s.or(fallback.stop_grace_s),
+        first_start: file.first_start.or(fallback.first_start),
+        rollout_share: file.rollout_share.or(fallback.rollout_share),
+        rollout_reserve: file.rollout_reserve.or(fallback.rollout_reserve),
+        usage_reports: file.usage_reports.or(fallback.usage_reports),
+        usage_window_s: file.usage_window_s.or(fallback.usage_window_s),
+        usage_late_s: file.usage_late_s.or(fallback.usage_late_s),
+        lease_ms: file.lease_ms.or(fallback.lease_ms),
+        gossip_ms: file.gossip_ms.or(fallback.gossip_ms),
+        watch_ms: file.watch_ms.or(fallback.watch_ms),
+        held_bytes: file.held_bytes.or(fallback.held_bytes),
+        traffic_threads: file.traffic_threads.or(fallback.traffic_threads),
+        log_level: file.log_level.or(fallback.log_level),
     }
 }
 
@@ -170,21 +175,21 @@
 
 fn exposure_limit(check: &mut Checker, share: Option<f64>, reserve: Option<f64>) -> ExposureLimit {
     ExposureLimit {
-        share: check.number("rollout_share", share, LEAST_ROLLOUT_SHARE, 1.0),
-        reserve: check.number("rollout_reserve", reserve, 0.0, MOST_ROLLOUT_RESERVE),
+        share: check.number("rollout_share", share, MIN_ROLLOUT_SHARE, 1.0),
+        reserve: check.number("rollout_reserve", reserve, 0.0, MAX_ROLLOUT_RESERVE),
     }
 }
 
-/// How usage is reported, if an address says where.
+/// Returns the settings of usage reports, if the file has an address for them.
 fn usage_settings(check: &mut Checker, file: &GatewaySettingsFile) -> Option<UsageSettings> {
     let address = check.address("usage_reports", Some(file.usage_reports.clone()?));
     let (window, late) = (file.usage_window_s, file.usage_late_s);
     Some(UsageSettings {
         address,
         policy: DutyPolicy {
-            window: seconds(check, "usage_window_s", window, USAGE_TIMES),
-            late: seconds(check, "usage_late_s", late, USAGE_TIMES),
-            lease: check.millis("lease_ms", file.lease_ms, LEASES),
+            window: seconds(check, "usage_window_s", window, USAGE_TIME_RANGE_S),
+            late: seconds(check, "usage_late_s", late, USAGE_TIME_RANGE_S),
+            lease: check.millis("lease_ms", file.lease_ms, LEASE_RANGE_MS),
         },
     })
 }
@@ -193,7 +198,7 @@
     type Error = Vec<SettingsError>;
 
     fn try_from(file: GatewaySettingsFile) -> Result<Self, Self::Error> {
-        let file = overlay(file, defaults());
+        let file = merge(file, defaults());
         let mut check = Checker::default();
         let usage = usage_settings(&mut check, &file);
         let peers_address = check.address("peers_address", file.peers_address);
@@ -241,19 +246,20 @@
     check: &mut Checker,
     field: &str,
     value: Option<f64>,
-    (least, most): (f64, f64),
+    (min, max): (f64, f64),
 ) -> Duration {
-    Duration::from_secs_f64(check.number(field, value, least, most))
+    Duration::from_secs_f64(check.number(field, value, min, max))
 }
 
-/// Reads seeds; all boxes use the same port among themselves, so a port that is given is dropped.
+/// Parses the seed addresses. All boxes use the same port for each other, so a port in the text is
+/// ignored.
 fn seeds(check: &mut Checker, texts: &[String], port: u16) -> Vec<SocketAddr> {
     let mut seeds = Vec::new();
     for text in texts.iter().filter(|text| !text.is_empty()) {
         let ip = text.parse::<SocketAddr>().map(|a| a.ip());
         match ip.or_else(|_| text.parse::<IpAddr>()) {
             Ok(ip) => seeds.push(SocketAddr::new(ip, port)),
-            Err(_) => check.fail("seeds", text, "give an IP number, with or without a port"),
+            Err(_) => check.fail("seeds", text, "give an IP address, with or without a port"),
         }
     }
     seeds
--- a/src/gateway/stream_report.rs
+++ b/src/gateway/stream_report.rs
@@ -1,9 +1,12 @@
-//! How a fleet's streams went, from the decision logs of several boxes.
+//! Statistics of a fleet's streams, from the decision logs of several boxes.
 //!
-//! Tells how long first events took beyond the prompt itself, how fast events came, why streams
-//! paused or had their prompt read again, which replicas served, and how streams ended. It counts
-//! what boxes wrote: a stream whose box was killed has no end, and a caller's second try has an id
-//! of its own and so counts as another stream.
+//! The report covers the time to the first event beyond the prefill itself, the time between events,
+//! the causes of pauses and of repeated prefills, the use of replicas, and the causes of the streams'
+//! ends.
+//!
+//! Input are request traces ([`crate::gateway::explain`]); only what boxes logged is counted. A stream
+//! whose box was killed has no end, and a caller's retry has an id of its own and so counts as another
+//! stream.
 
 use std::collections::BTreeMap;
 use std::fmt::{self, Write};
@@ -16,131 +19,131 @@
 use crate::gateway::dispatch::record::Record;
 use crate::gateway::explain::{Cause, RequestTrace};
 
-/// The longest pause between events that callers of the users' sites accept (their sheets).
-pub const LONGEST_PAUSE: Duration = Duration::from_millis(700);
+/// Maximum pause between events that the users' sites accept, as their requirements state.
+pub const MAX_PAUSE: Duration = Duration::from_millis(700);
 
-/// Times beyond this count as this: ten minutes, longer than any stream lasts.
-const LONGEST_TIME_US: u64 = 600_000_000;
+/// Upper bound of recorded times, 10 minutes. Longer times are clamped to it; no stream lasts longer.
+const MAX_TIME_US: u64 = 600_000_000;
 
 /// Quantiles of a time in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
-pub struct Spread {
-    /// How many were counted.
+pub struct Quantiles {
+    /// Number of values.
     pub count: u64,
-    /// The median.
+    /// Median.
     pub p50_ms: f64,
-    /// Nine tenths lie under it.
+    /// 90th percentile.
     pub p90_ms: f64,
-    /// The greatest.
+    /// Maximum.
     pub max_ms: f64,
 }
 
-/// How a stream went on after an attempt that ended early or never ran.
+/// How a stream continued after an attempt that ended early or never ran.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Continuation {
-    /// It went on from a replica.
+    /// It resumed from a replica.
     FromReplica,
-    /// Its prompt was read again.
-    Anew,
+    /// Its prompt was prefilled again.
+    #[serde(rename = "anew")]
+    FromPrompt,
 }
 
 impl fmt::Display for Continuation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::FromReplica => "from a replica",
-            Self::Anew => "prompt read again",
+            Self::FromPrompt => "prefilled again",
         })
     }
 }
 
-/// How many replicas of a kind were made, and gone on from.
+/// Numbers of replicas of one kind that were made and used.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize)]
 pub struct ReplicaUse {
-    /// Replicas that were made: mirrors named with an attempt, or snapshots taken.
+    /// Replicas made: mirrors assigned to an attempt, or snapshots taken.
     pub made: u64,
     /// Snapshots that could not be taken.
     pub failed: u64,
-    /// Attempts that went on from one.
+    /// Attempts that were to resume from a replica.
     pub used: u64,
-    /// Those of them whose first event came.
+    /// Attempts that resumed from a replica and sent an event.
     pub served: u64,
 }
 
-/// One stream that was disturbed: late, paused for too long, or without a whole answer.
+/// A stream that paused for longer than [`MAX_PAUSE`] or was not answered successfully.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct DisturbedStream {
-    /// The request.
+    /// Request id.
     pub request: String,
-    /// Its box.
+    /// Box that wrote the first line.
     pub r#box: String,
-    /// When it arrived, in seconds of the logs.
+    /// Time of the first line, in seconds of the logs.
     pub arrived: f64,
-    /// How it ended.
+    /// Cause of the stream's end.
     pub end: Cause,
-    /// The longest pause before an attempt's first event, in milliseconds.
+    /// Longest pause until a stream resumed, in milliseconds.
     pub longest_pause_ms: u64,
-    /// The last event that its box wrote of, if any came.
+    /// Number of the last event in the log, if there was one.
     pub last_event: Option<u64>,
-    /// Attempts that were made.
+    /// Number of attempts.
     pub attempts: u32,
 }
 
-/// How the streams of some logs went.
+/// Statistics of the streams in the logs.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct StreamReport {
-    /// Streams that began or were to begin.
+    /// Number of streams, including those without an event.
     pub streams: u64,
-    /// Time until the first event of a first attempt, less the time that its prompt takes alone.
-    pub first_event_over_prompt: Spread,
-    /// Time from one event to the next, over a whole stream of a single attempt.
-    pub event: Spread,
-    /// Pauses of streams that went on at another engine, by how the attempt before ended and how
-    /// it went on.
+    /// Time until the first event of a first attempt, minus the time that its prefill alone takes.
+    pub first_event_over_prompt: Quantiles,
+    /// Mean time between events of each stream that was served by a single attempt.
+    pub event: Quantiles,
+    /// Pauses of resumed streams, by the outcome of the previous attempt and by continuation.
     pub pauses: Vec<PauseCause>,
-    /// Attempts that read the prompt of a stream again after its first event, by how the one
-    /// before ended.
+    /// Attempts that prefilled a prompt again after the stream's first event, by the outcome of the
+    /// previous attempt.
     pub anew: BTreeMap<String, u64>,
-    /// Mirrors.
+    /// Use of mirrors.
     pub mirrors: ReplicaUse,
-    /// Snapshots.
+    /// Use of snapshots.
     pub snapshots: ReplicaUse,
-    /// Streams by how they ended.
+    /// Number of streams by the cause of their end.
     pub ends: BTreeMap<Cause, u64>,
-    /// Streams that were disturbed.
+    /// Streams with a long pause or without a successful answer.
     pub disturbed: Vec<DisturbedStream>,
 }
 
-/// Pauses of one cause.
+/// Pauses after the same outcome that continued in the same way.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct PauseCause {
-    /// How the attempt before ended.
+    /// Outcome of the previous attempt.
     pub after: String,
-    /// How the stream went on.
+    /// How the streams continued.
     pub went_on: Continuation,
-    /// The pauses.
-    pub pauses: Spread,
-    /// Those longer than [`LONGEST_PAUSE`].
+    /// Durations of the pauses.
+    pub pauses: Quantiles,
+    /// Number of pauses longer than [`MAX_PAUSE`].
     pub too_long: u64,
 }
 
-/// Times that are gathered for one spread.
+/// Histogram of times in microseconds.
 #[derive(Debug)]
-struct Times(Histogram<u64>);
+struct TimeHistogram(Histogram<u64>);
 
-impl Times {
+impl TimeHistogram {
     fn new() -> Self {
-        // A constant range and three digits: this can't fail.
-        Self(Histogram::new_with_max(LONGEST_TIME_US, 3).expect("the range is sound"))
+        // Cannot fail: the range and the three significant digits are valid constants.
+        Self(Histogram::new_with_max(MAX_TIME_US, 3).expect("the histogram range is valid"))
     }
 
     fn add_ms(&mut self, ms: f64) {
         self.0.saturating_record((ms.max(0.0) * 1_000.0) as u64);
     }
 
-    fn spread(&self) -> Spread {
+    fn quantiles(&self) -> Quantiles {
         let ms = |micros: u64| micros as f64 / 1_000.0;
-        Spread {
+        Quantiles {
             count: self.0.len(),
             p50_ms: ms(self.0.value_at_quantile(0.5)),
             p90_ms: ms(self.0.value_at_quantile(0.9)),
@@ -149,29 +152,31 @@
     }
 }
 
-/// What is gathered over all streams.
+/// Statistics collected over all streams.
 #[derive(Debug)]
-struct Gathered {
+struct ReportBuilder {
     report: StreamReport,
-    first_event: Times,
-    event: Times,
-    pauses: BTreeMap<(String, Continuation), (Times, u64)>,
+    first_event: TimeHistogram,
+    event: TimeHistogram,
+    pauses: BTreeMap<(String, Continuation), (TimeHistogram, u64)>,
 }
 
-/// What is known of a stream so far, as its lines are read in order.
+/// State of a stream while its lines are read in order.
 #[derive(Debug, Default)]
-struct Progress {
+struct StreamState {
+    /// Length of the prompt in tokens.
     prompt: u32,
     attempts: u32,
-    /// How the attempt before ended; empty for the first one.
-    after: String,
-    /// How the last attempt went on.
-    went_on: Option<Continuation>,
-    /// Hosts of snapshots.
-    snapshots: Vec<String>,
-    /// What the last attempt went on from.
+    /// Outcome of the previous attempt; empty for the first one.
+    previous_outcome: String,
+    /// How the last attempt continued.
+    continuation: Option<Continuation>,
+    /// Endpoints that hold snapshots.
+    snapshot_hosts: Vec<String>,
+    /// Replica from which the last attempt resumes.
     resumed_from: Option<ReplicaKind>,
-    begun_ms: Option<u64>,
+    /// Time of the first event, in milliseconds after the arrival.
+    first_event_ms: Option<u64>,
     longest_pause_ms: u64,
     last_event: Option<u64>,
 }
@@ -182,22 +187,22 @@
     Snapshot,
 }
 
-/// Makes the report of all streams among some traces.
+/// Creates the report of all streams among the traces.
 #[must_use]
 pub fn report(traces: &[RequestTrace]) -> StreamReport {
-    let mut gathered = Gathered {
+    let mut builder = ReportBuilder {
         report: StreamReport::default(),
-        first_event: Times::new(),
-        event: Times::new(),
+        first_event: TimeHistogram::new(),
+        event: TimeHistogram::new(),
         pauses: BTreeMap::new(),
     };
     for trace in traces.iter().filter(|trace| is_stream(trace)) {
-        gathered.add(trace);
+        builder.add(trace);
     }
-    gathered.finish()
+    builder.finish()
 }
 
-/// Whether a trace is that of a stream: only prompts have tokens.
+/// Whether the trace is that of a stream; other requests have no prompt tokens.
 fn is_stream(trace: &RequestTrace) -> bool {
     trace.lines.iter().any(|line| {
         matches!(&line.line.record, Record::Arrived { prompt, .. } if *prompt > 0)
@@ -205,16 +210,16 @@
     })
 }
 
-impl Gathered {
+impl ReportBuilder {
     fn add(&mut self, trace: &RequestTrace) {
-        let mut progress = Progress::default();
+        let mut stream = StreamState::default();
         for line in &trace.lines {
-            self.read(&mut progress, &line.line.record);
+            self.read(&mut stream, &line.line.record);
         }
         self.report.streams += 1;
         *self.report.ends.entry(trace.cause).or_default() += 1;
-        let pause = Duration::from_millis(progress.longest_pause_ms);
-        if pause <= LONGEST_PAUSE && !trace.cause.is_failure() {
+        let pause = Duration::from_millis(stream.longest_pause_ms);
+        if pause <= MAX_PAUSE && !trace.cause.is_failure() {
             return;
         }
         let Some(first) = trace.lines.first() else {
@@ -225,15 +230,15 @@
             r#box: first.line.r#box.clone(),
             arrived: first.seconds,
             end: trace.cause,
-            longest_pause_ms: progress.longest_pause_ms,
-            last_event: progress.last_event,
-            attempts: progress.attempts,
+            longest_pause_ms: stream.longest_pause_ms,
+            last_event: stream.last_event,
+            attempts: stream.attempts,
         });
     }
 
-    fn read(&mut self, progress: &mut Progress, record: &Record) {
+    fn read(&mut self, stream: &mut StreamState, record: &Record) {
         match record {
-            Record::Arrived { prompt, .. } => progress.prompt = *prompt,
+            Record::Arrived { prompt, .. } => stream.prompt = *prompt,
             Record::Sent {
                 endpoint,
                 backup,
@@ -241,41 +246,41 @@
                 after_event,
                 ..
             } => {
-                progress.attempts += 1;
+                stream.attempts += 1;
                 self.report.mirrors.made += u64::from(backup.is_some());
-                self.read_attempt(progress, endpoint, *from_backup, after_event.is_some());
+                self.read_attempt(stream, endpoint, *from_backup, after_event.is_some());
             }
-            Record::Begun { after_ms, .. } => self.read_begin(progress, *after_ms),
-            Record::Resumed { pause_ms, .. } => self.read_pause(progress, *pause_ms),
+            Record::Begun { after_ms, .. } => self.read_first_event(stream, *after_ms),
+            Record::Resumed { pause_ms, .. } => self.read_pause(stream, *pause_ms),
             Record::Ended {
                 outcome,
                 last_event,
                 ..
             } => {
-                progress.after = outcome.clone().into_owned();
-                progress.last_event = last_event.or(progress.last_event);
+                stream.previous_outcome = outcome.clone().into_owned();
+                stream.last_event = last_event.or(stream.last_event);
             }
             Record::Copied {
                 holder, is_made, ..
-            } => self.read_snapshot(progress, holder, *is_made),
-            Record::Answered { after_ms, .. } => self.read_end(progress, *after_ms),
+            } => self.read_snapshot(stream, holder, *is_made),
+            Record::Answered { after_ms, .. } => self.read_end(stream, *after_ms),
             _ => {}
         }
     }
 
-    fn read_begin(&mut self, progress: &mut Progress, after_ms: u64) {
-        progress.begun_ms = Some(after_ms);
-        if progress.attempts == 1 {
-            let alone = f64::from(progress.prompt) / PREFILL_TOKENS_PER_MS;
-            self.first_event.add_ms(after_ms as f64 - alone);
+    fn read_first_event(&mut self, stream: &mut StreamState, after_ms: u64) {
+        stream.first_event_ms = Some(after_ms);
+        if stream.attempts == 1 {
+            let prefill_ms = f64::from(stream.prompt) / PREFILL_TOKENS_PER_MS;
+            self.first_event.add_ms(after_ms as f64 - prefill_ms);
         }
     }
 
-    fn read_snapshot(&mut self, progress: &mut Progress, host: &str, is_made: bool) {
+    fn read_snapshot(&mut self, stream: &mut StreamState, host: &str, is_made: bool) {
         let snapshots = &mut self.report.snapshots;
         if is_made {
             snapshots.made += 1;
-            progress.snapshots.push(host.to_owned());
+            stream.snapshot_hosts.push(host.to_owned());
         } else {
             snapshots.failed += 1;
         }
@@ -283,29 +288,30 @@
 
     fn read_attempt(
         &mut self,
-        progress: &mut Progress,
+        stream: &mut StreamState,
         endpoint: &str,
         from_replica: bool,
-        has_begun: bool,
+        has_events: bool,
     ) {
         if from_replica {
-            progress.went_on = Some(Continuation::FromReplica);
-            let kind = if progress.snapshots.iter().any(|host| host == endpoint) {
+            stream.continuation = Some(Continuation::FromReplica);
+            let kind = if stream.snapshot_hosts.iter().any(|host| host == endpoint) {
                 ReplicaKind::Snapshot
             } else {
                 ReplicaKind::Mirror
             };
-            progress.resumed_from = Some(kind);
+            stream.resumed_from = Some(kind);
             self.replica_use(kind).used += 1;
             return;
         }
-        progress.went_on = Some(Continuation::Anew);
-        progress.resumed_from = None;
-        if has_begun {
-            let after = if progress.attempts == 1 {
+        stream.continuation = Some(Continuation::FromPrompt);
+        stream.resumed_from = None;
+        if has_events {
+            // The key is part of the JSON output.
+            let after = if stream.attempts == 1 {
                 "caller came back".to_owned()
             } else {
-                progress.after.clone()
+                stream.previous_outcome.clone()
             };
             *self.report.anew.entry(after).or_default() += 1;
         }
@@ -318,39 +324,39 @@
         }
     }
 
-    fn read_pause(&mut self, progress: &mut Progress, pause_ms: u64) {
-        progress.longest_pause_ms = progress.longest_pause_ms.max(pause_ms);
-        if let Some(kind) = progress.resumed_from {
+    fn read_pause(&mut self, stream: &mut StreamState, pause_ms: u64) {
+        stream.longest_pause_ms = stream.longest_pause_ms.max(pause_ms);
+        if let Some(kind) = stream.resumed_from {
             self.replica_use(kind).served += 1;
         }
-        let went_on = progress.went_on.unwrap_or(Continuation::Anew);
-        let key = (progress.after.clone(), went_on);
-        let (times, too_long) = self.pauses.entry(key).or_insert((Times::new(), 0));
+        let continuation = stream.continuation.unwrap_or(Continuation::FromPrompt);
+        let key = (stream.previous_outcome.clone(), continuation);
+        let (times, too_long) = self.pauses.entry(key).or_insert((TimeHistogram::new(), 0));
         times.add_ms(pause_ms as f64);
-        if Duration::from_millis(pause_ms) > LONGEST_PAUSE {
+        if Duration::from_millis(pause_ms) > MAX_PAUSE {
             *too_long += 1;
         }
     }
 
-    fn read_end(&mut self, progress: &Progress, after_ms: u64) {
-        let Some((begun, last)) = progress.begun_ms.zip(progress.last_event) else {
+    fn read_end(&mut self, stream: &StreamState, after_ms: u64) {
+        let Some((first_event_ms, last)) = stream.first_event_ms.zip(stream.last_event) else {
             return;
         };
-        if progress.attempts == 1 && last > 1 {
-            let events = (last - 1) as f64;
+        if stream.attempts == 1 && last > 1 {
+            let intervals = (last - 1) as f64;
             self.event
-                .add_ms(after_ms.saturating_sub(begun) as f64 / events);
+                .add_ms(after_ms.saturating_sub(first_event_ms) as f64 / intervals);
         }
     }
 
     fn finish(mut self) -> StreamReport {
-        self.report.first_event_over_prompt = self.first_event.spread();
-        self.report.event = self.event.spread();
+        self.report.first_event_over_prompt = self.first_event.quantiles();
+        self.report.event = self.event.quantiles();
         let causes = self.pauses.into_iter();
-        let causes = causes.map(|((after, went_on), (times, too_long))| PauseCause {
+        let causes = causes.map(|((after, continuation), (times, too_long))| PauseCause {
             after,
-            went_on,
-            pauses: times.spread(),
+            went_on: continuation,
+            pauses: times.quantiles(),
             too_long,
         });
         self.report.pauses = causes.collect();
@@ -359,27 +365,27 @@
 }
 
 impl StreamReport {
-    /// The report as a table for a person.
+    /// Formats the report as a table.
     #[must_use]
     pub fn text(&self) -> String {
         let mut text = format!("streams: {}\n", self.streams);
-        // Writing to a string does not fail.
-        let _ = writeln!(text, "{:<44}{}", "", Spread::HEAD);
+        // Writing to a `String` cannot fail.
+        let _ = writeln!(text, "{:<44}{}", "", Quantiles::HEAD);
         let first = self.first_event_over_prompt;
         let _ = writeln!(
             text,
             "{:<44}{first}",
-            "first event, over the prompt's own time"
+            "time to first event, less the prefill"
         );
-        let _ = writeln!(text, "{:<44}{}", "from one event to the next", self.event);
+        let _ = writeln!(text, "{:<44}{}", "time between events", self.event);
         for cause in &self.pauses {
             let label = format!("pause after {}, {}", cause.after, cause.went_on);
             let long = cause.too_long;
-            let limit = LONGEST_PAUSE.as_millis();
+            let limit = MAX_PAUSE.as_millis();
             let _ = writeln!(text, "{label:<44}{}  over {limit} ms: {long}", cause.pauses);
         }
         for (after, count) in &self.anew {
-            let _ = writeln!(text, "prompt read again after {after}: {count}");
+            let _ = writeln!(text, "prompt prefilled again after {after}: {count}");
         }
         for (name, replicas) in [("mirrors", self.mirrors), ("snapshots", self.snapshots)] {
             let _ = writeln!(text, "{name}: {replicas}");
@@ -389,18 +395,18 @@
         }
         let _ = write!(
             text,
-            "disturbed, by JSON one by one: {}",
+            "streams with a long pause or without an answer (listed by --json): {}",
             self.disturbed.len()
         );
         text
     }
 }
 
-impl Spread {
-    const HEAD: &'static str = "  count  median ms      9 in 10     longest";
+impl Quantiles {
+    const HEAD: &'static str = "  count     p50 ms       p90 ms      max ms";
 }
 
-impl fmt::Display for Spread {
+impl fmt::Display for Quantiles {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Self {
             count,
@@ -422,7 +428,7 @@
         } = self;
         write!(
             f,
-            "{made} made, {failed} failed, {used} gone on from, {served} of these served"
+            "{made} made, {failed} failed, {used} resumed from, {served} of these served"
         )
     }
 }
--- a/src/schema/generated.rs
+++ b/src/schema/generated.rs
@@ -1,6 +1,6 @@
 // Generated from schema/*.schema.json by `magpiemoor-lab gen`; do not edit.
 
-///An adapter of a model.
+///Identifies an adapter of a model.
 #[derive(::serde::Serialize, Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 #[serde(transparent)]
 pub struct AdapterId(::std::string::String);
@@ -57,7 +57,7 @@
             })
     }
 }
-///A chained hash of an answer's tokens up to an offset.
+///Chained hash of an answer's tokens up to an offset.
 #[derive(
     ::serde::Deserialize,
     ::serde::Serialize,
@@ -111,13 +111,13 @@
         value.parse()
     }
 }
-///Answers by how long they took.
+///Histogram of answer times.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, Default, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct AnswerTimes {
-    ///Those that failed.
+    ///Number of failed answers.
     pub failed: u32,
-    ///The others, by steps of their time, the shortest first.
+    ///Number of successful answers in each time bucket, shortest first.
     pub took: ::std::vec::Vec<u32>,
 }
 ///A service's answer on its way to the caller.
@@ -127,7 +127,7 @@
     pub answer: ServiceAnswer,
     pub subscription: u64,
 }
-///One run of a request on an endpoint.
+///Number of an attempt to run a request at an endpoint.
 #[derive(
     ::serde::Deserialize,
     ::serde::Serialize,
@@ -246,7 +246,7 @@
             })
     }
 }
-///An entry box, unique within the fleet.
+///Identifies an entry box, unique within the fleet.
 #[derive(::serde::Serialize, Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 #[serde(transparent)]
 pub struct BoxId(::std::string::String);
@@ -303,41 +303,41 @@
             })
     }
 }
-///What a box of the gateway tells its peers.
+///State that a box sends to its peers.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct BoxState {
-    ///Where the box is reached by its peers.
+    ///Address for other boxes, IP:PORT.
     pub address: ::std::string::String,
-    ///Counts the box's messages, and is greater in each later life of it.
+    ///Heartbeat counter; it increases with each message and across restarts of the box.
     pub beat: u64,
     pub domain: DomainId,
-    ///What failure domains run: the own one for other domains, the others for the own one.
+    ///Load by failure domain: that of the sender's domain goes to other domains, that of other domains to boxes of the sender's.
     pub domain_usage: ::std::vec::Vec<DomainUsage>,
-    ///How many boxes run in each failure domain, its own with them.
+    ///Number of running boxes in each failure domain, including the sender's.
     pub domains: ::std::vec::Vec<DomainSize>,
-    ///The store's revision at which the known list of endpoints changed last, or 0.
+    ///Store revision of the last change to the endpoint list that the box knows, or 0.
     pub endpoints_at: u64,
     pub from: BoxId,
     pub incarnation: Incarnation,
-    ///Endpoints that it lost a short while ago.
+    ///Endpoints that the box recently lost.
     pub lost: ::std::vec::Vec<EndpointIncarnation>,
-    ///Boxes of that failure domain, the receiver's as far as the sender knows, that it takes for running: all of its own domain, some of another.
+    ///Boxes that the sender assumes are running in the failure domain named by members_of, which is the receiver's as far as the sender knows: all of them if it is the sender's own, some otherwise.
     pub members: ::std::vec::Vec<RunningBox>,
     pub members_of: DomainId,
-    ///Some boxes of other failure domains than the receiver's.
+    ///Some boxes outside the receiver's failure domain.
     pub peers: ::std::vec::Vec<PeerAddress>,
     ///Boxes of the receiver's failure domain that read the store.
     pub readers: ::std::vec::Vec<StoreReader>,
-    ///Roll-outs that it knows of.
+    ///Roll-outs that the box knows.
     pub rollouts: ::std::vec::Vec<RolloutState>,
-    ///Whether the box is about to end.
+    ///Whether the box is shutting down.
     pub stopping: bool,
-    ///The version of the routing table in force, or 0.
+    ///Version of the routing table in force, or 0 without one.
     pub table_version: u64,
-    ///What it has counted for services, for boxes of its own failure domain.
+    ///Counts by service, for boxes of its own failure domain.
     pub totals: ::std::vec::Vec<ServiceTotals>,
-    ///What it runs: all of it for boxes of its own failure domain, at engines for others.
+    ///Load of the box by endpoint: all endpoints for boxes of its own failure domain, only engines for others.
     pub usage: ::std::vec::Vec<EndpointUsage>,
 }
 ///Asks a peer for a bundle.
@@ -390,7 +390,7 @@
     pub services: ::std::vec::Vec<ServiceCalls>,
     pub version: BundleVersion,
 }
-///The version of a bundle; only greater ones are accepted.
+///Version of a bundle; only a greater version replaces it.
 #[derive(
     ::serde::Deserialize,
     ::serde::Serialize,
@@ -444,7 +444,7 @@
         value.parse()
     }
 }
-///A call of a plain service.
+///Name of a call that a plain service offers.
 #[derive(::serde::Serialize, Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 #[serde(transparent)]
 pub struct CallName(::std::string::String);
@@ -518,34 +518,34 @@
     pub name: CallName,
     pub repeatable: bool,
 }
-///A life of an endpoint that ended while it ran a request.
+///An endpoint's process that ended while it ran a request.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct CrashReport {
-    ///Milliseconds since it ended.
+    ///Milliseconds since the process ended.
     pub age_ms: u32,
-    ///Requests that ran beside it.
+    ///Number of other requests that ran at the endpoint at that time.
     pub beside: u32,
     pub endpoint: EndpointIncarnation,
-    ///Whether others of the endpoint's failure domain ended at the same time.
+    ///Whether other endpoints of the same failure domain ended at the same time.
     pub fell_with_domain: bool,
-    ///Whether the request has since got past that point at another endpoint.
+    ///Whether the request has since run past that point at another endpoint.
     pub is_passed: bool,
-    ///The last event that the caller had got, or 0.
+    ///Number of the last event that the caller had received, or 0.
     pub last_event: u64,
-    ///Milliseconds since the first event there, or 0.
+    ///Milliseconds from the attempt's first event to the crash, or 0 without an event.
     pub ran_ms: u32,
     pub request: Fingerprint,
 }
-///What a box knows of requests under which endpoints ended.
+///A box's records of requests during which endpoints crashed.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, Default, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct CrashUpdate {
-    ///Lives that ended.
+    ///Crashes of endpoints.
     pub crashes: ::std::vec::Vec<CrashReport>,
-    ///Requests that are to blame.
+    ///Requests that are quarantined as the cause of crashes.
     pub quarantined: ::std::vec::Vec<RequestAge>,
-    ///Requests that were answered, and so are not to blame.
+    ///Requests that were answered, which shows that they did not cause the crash.
     pub served: ::std::vec::Vec<RequestAge>,
 }
 ///A caller's place in an answer.
@@ -567,13 +567,13 @@
     pub generation: Generation,
     pub offset: TokenOffset,
 }
-///What stands behind the message of a datagram; a box passes over kinds that it doesn't know.
+///Section that follows the message of a datagram; a box skips unknown kinds.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct DatagramSection {
-    ///Its bytes.
+    ///Encoded content.
     pub content: ::std::vec::Vec<u8>,
-    ///What it is.
+    ///Code of the content's type.
     pub kind: u16,
 }
 ///Asks the domain's scribe to keep a request.
@@ -642,7 +642,7 @@
     pub key: RequestKey,
     pub subscription: u64,
 }
-///A failure domain.
+///Identifies a failure domain.
 #[derive(::serde::Serialize, Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 #[serde(transparent)]
 pub struct DomainId(::std::string::String);
@@ -699,62 +699,62 @@
             })
     }
 }
-///How many boxes of a failure domain run.
+///Number of running boxes in a failure domain.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct DomainSize {
-    ///Milliseconds since a box of that domain counted them.
+    ///Milliseconds since a box of that domain counted.
     pub age_ms: u32,
-    ///The boxes that run.
+    ///Number of running boxes.
     pub boxes: u32,
     pub domain: DomainId,
 }
-///What a failure domain knows of a roll-out.
+///Observations of a roll-out in a failure domain.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct DomainTally {
-    ///Milliseconds since a box of that domain summed it up.
+    ///Milliseconds since a box of that domain computed the sums.
     pub age_ms: u32,
     pub domain: DomainId,
-    ///Whether no box there has work at endpoints of other versions, or sends any.
+    ///Whether no box there has requests at endpoints of other versions or sends any.
     pub is_clear: bool,
-    ///What its endpoints answered.
+    ///Answers of its endpoints.
     pub series: ::std::vec::Vec<SeriesTally>,
 }
-///What all boxes of a failure domain run at plain services.
+///Load that all boxes of a failure domain have placed on endpoints of plain services.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct DomainUsage {
-    ///Milliseconds since a box of that domain summed it up.
+    ///Milliseconds since a box of that domain computed the sums.
     pub age_ms: u32,
     pub domain: DomainId,
-    ///The sums.
+    ///Sums by endpoint.
     pub usage: ::std::vec::Vec<EndpointUsage>,
 }
-///Who holds the duty to report usage, as a box knows it.
+///The box that holds the duty to report usage, as known to the sender.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct DutyHolder {
-    ///Where its peers reach it.
+    ///Address for other boxes, IP:PORT.
     pub address: ::std::string::String,
     pub id: BoxId,
     pub incarnation: Incarnation,
-    ///Its fencing token.
+    ///Fencing token of the duty.
     pub token: u64,
 }
-///How attempts at an endpoint ended since a box told it last.
+///Outcomes of attempts at an endpoint since the box's previous update.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct EndpointAnswers {
-    ///Those whose connection or answer broke.
+    ///Attempts whose connection closed early or whose answer was malformed.
     pub broken: u32,
     pub endpoint: EndpointIncarnation,
-    ///Those that were refused, or had an error for an answer.
+    ///Attempts that were refused or answered with an error.
     pub errors: u32,
-    ///Those that were answered well.
+    ///Attempts that succeeded.
     pub served: u32,
 }
-///An endpoint: a model engine or a plain service.
+///Identifies an endpoint: a model engine or an instance of a plain service.
 #[derive(::serde::Serialize, Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 #[serde(transparent)]
 pub struct EndpointId(::std::string::String);
@@ -856,16 +856,16 @@
     pub id: EndpointId,
     pub serves: EndpointKind,
 }
-///What a box runs at an endpoint.
+///Load that a box has placed on an endpoint.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct EndpointUsage {
     pub endpoint: EndpointIncarnation,
-    ///Tokens of KV memory that runs and copies take or will take.
+    ///Tokens of KV memory that requests and replicas occupy or will occupy.
     pub memory: u32,
-    ///Tokens of prompts whose first event has not come.
+    ///Prompt tokens of requests that have not had their first event.
     pub reading: u32,
-    ///Requests that run there.
+    ///Number of running requests.
     pub running: u32,
 }
 ///A model engine.
@@ -885,7 +885,7 @@
     pub incarnation: Incarnation,
     pub message: PeerMessage,
 }
-///The version of a roster, and the fence on orders.
+///Version of a roster; also the fencing token of orders.
 #[derive(
     ::serde::Deserialize,
     ::serde::Serialize,
@@ -939,7 +939,7 @@
         value.parse()
     }
 }
-///What a request asks for and who asks, as one number: the same whenever a caller sends it again.
+///Hash of a request's content and caller; a request that the caller sends again has the same fingerprint.
 #[derive(
     ::serde::Deserialize,
     ::serde::Serialize,
@@ -1123,82 +1123,82 @@
         value.parse()
     }
 }
-///The settings of a gateway box.
+///Settings file of a gateway box.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, Default, PartialEq)]
 pub struct GatewaySettingsFile {
-    ///The entry box's name, unique in the fleet.
+    ///Name of the box, unique in the fleet.
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub box_id: ::std::option::Option<::std::string::String>,
-    ///Address and port for callers, by IP number.
+    ///IP address and port that callers connect to.
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub callers: ::std::option::Option<::std::string::String>,
-    ///The failure domain that this box stands in.
+    ///Failure domain of the box.
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub domain: ::std::option::Option<::std::string::String>,
-    ///Whether the fleet starts for the first time, so that no caller can have lost a box before.
+    ///Whether the fleet starts for the first time, so that no caller can be reconnecting from a lost box.
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub first_start: ::std::option::Option<bool>,
-    ///How many boxes share the retry budget until peers are known.
+    ///Number of boxes that share the retry budget until peers are known.
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub fleet_boxes: ::std::option::Option<u64>,
-    ///Time between messages to peers, in milliseconds.
+    ///Interval between messages to peers, in milliseconds.
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub gossip_ms: ::std::option::Option<u64>,
-    ///Address and port for readiness checks.
+    ///IP address and port of the readiness check.
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub health: ::std::option::Option<::std::string::String>,
-    ///Bytes of bodies that are held at once.
+    ///Maximum total size of buffered request bodies, in bytes.
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub held_bytes: ::std::option::Option<u64>,
-    ///How long a box holds a duty after it last said so, in milliseconds.
+    ///Duration of a duty's lease after its last renewal, in milliseconds.
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub lease_ms: ::std::option::Option<u64>,
-    ///off, error, warn, info, debug or trace.
+    ///Log level: off, error, warn, info, debug or trace.
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub log_level: ::std::option::Option<::std::string::String>,
-    ///Address and port for metrics.
+    ///IP address and port of the metrics.
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub metrics: ::std::option::Option<::std::string::String>,
-    ///Address and port for other boxes, UDP and TCP.
+    ///IP address and port for other boxes, over UDP and TCP.
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub peers_address: ::std::option::Option<::std::string::String>,
-    ///Address and port of the platform's store.
+    ///IP address and port of the platform's store.
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub platform: ::std::option::Option<::std::string::String>,
-    ///Retries for each request, over all boxes.
+    ///Retries allowed per request, over all boxes.
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub retry_ratio: ::std::option::Option<f64>,
-    ///Retries in a window beyond that, over all boxes.
+    ///Retries allowed per window in addition, over all boxes.
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub retry_reserve: ::std::option::Option<f64>,
-    ///The window of the retry budget, in seconds.
+    ///Window of the retry budget, in seconds.
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub retry_window_s: ::std::option::Option<f64>,
-    ///Requests that a version may get beyond that share.
+    ///Requests that a new version may receive in addition to that share.
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub rollout_reserve: ::std::option::Option<f64>,
-    ///The greatest share of a service's requests that a version may get before its order's time is over.
+    ///Maximum share of a service's requests that a new version may receive before the roll-out's time is over.
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub rollout_share: ::std::option::Option<f64>,
-    ///IP numbers, with or without a port, of boxes to speak to first.
+    ///IP addresses, with or without a port, of the boxes to contact first.
     #[serde(default, skip_serializing_if = "::std::vec::Vec::is_empty")]
     pub seeds: ::std::vec::Vec<::std::string::String>,
-    ///How long a stop may take, in seconds.
+    ///Maximum duration of a graceful stop, in seconds.
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub stop_grace_s: ::std::option::Option<f64>,
-    ///Threads that move bytes.
+    ///Number of threads that serve connections.
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub traffic_threads: ::std::option::Option<u64>,
-    ///How long after a window's end its report may come, in seconds.
+    ///Maximum time from the end of a usage window to its report, in seconds.
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub usage_late_s: ::std::option::Option<f64>,
-    ///Where usage is reported, an IP number and a port; without it none is.
+    ///IP address and port to which usage is reported; without it usage is not reported.
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub usage_reports: ::std::option::Option<::std::string::String>,
-    ///The length of a window of usage, in seconds.
+    ///Length of a usage window, in seconds.
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub usage_window_s: ::std::option::Option<f64>,
-    ///How long a watch of the platform's store waits, in milliseconds.
+    ///Timeout of a watch request to the platform's store, in milliseconds.
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub watch_ms: ::std::option::Option<u64>,
 }
@@ -1212,7 +1212,7 @@
     pub model: ModelId,
     pub prompt: ::std::string::String,
 }
-///One producer's term for an answer; a takeover raises it.
+///Term of the endpoint that produces an answer; each takeover increases it.
 #[derive(
     ::serde::Deserialize,
     ::serde::Serialize,
@@ -1316,7 +1316,7 @@
     pub successor: ::std::option::Option<BoxId>,
     pub term: u64,
 }
-///A hybrid logical clock reading: 48 bits of milliseconds, 16 bits of counter.
+///Reading of a hybrid logical clock: 48 bits of milliseconds, then a 16-bit counter.
 #[derive(
     ::serde::Deserialize,
     ::serde::Serialize,
@@ -1370,7 +1370,7 @@
         value.parse()
     }
 }
-///One life of a process; a restarted box has a greater one.
+///Number of a process incarnation; it increases with each restart of the box.
 #[derive(
     ::serde::Deserialize,
     ::serde::Serialize,
@@ -1544,14 +1544,14 @@
             })
     }
 }
-///The limit that an endpoint named in an answer to a box.
+///Rate limit that an endpoint announced in an answer to a box.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct LimitReport {
     ///Milliseconds since that answer.
     pub age_ms: u32,
     pub endpoint: EndpointIncarnation,
-    ///Thousandths of a request a second from all boxes together; null where the endpoint named no limit.
+    ///Thousandths of a request per second from all boxes together; null if the endpoint announced no limit.
     #[serde(deserialize_with = "::std::option::Option::deserialize")]
     pub milli_per_second: ::std::option::Option<u32>,
 }
@@ -1562,11 +1562,11 @@
     ///Permit requests.
     pub asks: ::std::vec::Vec<PermitRequest>,
     pub from: BoxId,
-    ///Permits that are granted.
+    ///Granted permits.
     pub grants: ::std::vec::Vec<PermitGrant>,
-    ///Whether another box than the requester forwarded this.
+    ///Whether a box other than the requester forwarded this message.
     pub is_passed_on: bool,
-    ///Limits that endpoints named.
+    ///Limits that endpoints announced.
     pub notes: ::std::vec::Vec<LimitReport>,
     ///Address to which requested permits are sent.
     pub reply_to: ::std::string::String,
@@ -1612,7 +1612,7 @@
     pub id: BoxId,
     pub incarnation: Incarnation,
 }
-///A point on a box's own monotonic clock, in microseconds.
+///Reading of a box's monotonic clock, in microseconds; not comparable between boxes.
 #[derive(
     ::serde::Deserialize,
     ::serde::Serialize,
@@ -1666,7 +1666,7 @@
         value.parse()
     }
 }
-///A span of time in milliseconds.
+///Duration in milliseconds.
 #[derive(
     ::serde::Deserialize,
     ::serde::Serialize,
@@ -1720,7 +1720,7 @@
         value.parse()
     }
 }
-///A model.
+///Identifies a model.
 #[derive(::serde::Serialize, Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 #[serde(transparent)]
 pub struct ModelId(::std::string::String);
@@ -1834,15 +1834,15 @@
         Self::Answered(value)
     }
 }
-///How many requests of an organisation began to run.
+///Number of an organisation's requests that began to run.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct OrganisationCount {
-    ///How many.
+    ///Number of requests.
     pub began: u64,
     pub organisation: OrganisationId,
 }
-///An organisation whose requests are served.
+///Identifies an organisation whose requests are served.
 #[derive(::serde::Serialize, Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 #[serde(transparent)]
 pub struct OrganisationId(::std::string::String);
@@ -1921,27 +1921,27 @@
     pub subscription: u64,
     pub tokens: ::std::vec::Vec<Token>,
 }
-///Entries of the list of endpoints on their way between boxes of the gateway.
+///Compressed entries of the endpoint list for the transfer between boxes.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct PackedEntries {
-    ///A JSON array of StateEntry, deflated (RFC 1951).
+    ///JSON array of StateEntry, compressed with DEFLATE (RFC 1951).
     pub packed: ::std::vec::Vec<u8>,
-    ///Bytes of their text.
+    ///Size of the uncompressed text in bytes.
     pub text_bytes: u32,
 }
-///A configuration on its way between boxes of the gateway.
+///Compressed configuration for the transfer between boxes.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct PackedTable {
     ///Milliseconds since the store answered the box that read it.
     pub age_ms: u32,
-    ///Its text, as it was read, deflated (RFC 1951).
+    ///Configuration text as read from the store, compressed with DEFLATE (RFC 1951).
     pub packed: ::std::vec::Vec<u8>,
-    ///Bytes of its text.
+    ///Size of the uncompressed text in bytes.
     pub text_bytes: u32,
 }
-///SHA-256 of a bundle part, in hex.
+///SHA-256 hash of a bundle part, in hexadecimal.
 #[derive(::serde::Serialize, Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 #[serde(transparent)]
 pub struct PartHash(::std::string::String);
@@ -2073,11 +2073,11 @@
     pub hash: PartHash,
     pub kind: PartKind,
 }
-///Where a box is reached, and where it stands.
+///Address and failure domain of a box.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct PeerAddress {
-    ///Its address for other boxes, IP:PORT.
+    ///Address for other boxes, IP:PORT.
     pub address: ::std::string::String,
     pub domain: DomainId,
 }
@@ -2231,15 +2231,15 @@
     pub domain: DomainId,
     pub id: BoxId,
 }
-///Permits to send requests to an endpoint that names a limit.
+///Permits granted for an endpoint that announces a rate limit.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct PermitGrant {
     pub endpoint: EndpointIncarnation,
-    ///How many.
+    ///Number of permits.
     pub permits: u32,
 }
-///Requests permits to send requests to an endpoint that names a limit.
+///Requests permits for an endpoint that announces a rate limit.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct PermitRequest {
@@ -2524,11 +2524,11 @@
     pub organisation: OrganisationId,
     pub priority: Priority,
 }
-///A request, and how long ago something became of it.
+///A request and the time since its outcome was recorded.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct RequestAge {
-    ///Milliseconds since then.
+    ///Milliseconds since the outcome was recorded.
     pub age_ms: u32,
     pub request: Fingerprint,
 }
@@ -2605,7 +2605,7 @@
         Self::Call(value)
     }
 }
-///How far a roll-out is; boxes that are told of a later phase enter it.
+///Phase of a roll-out; a box enters a later phase that a peer reports.
 #[derive(
     ::serde::Deserialize,
     ::serde::Serialize,
@@ -2676,44 +2676,44 @@
         value.parse()
     }
 }
-///How far a box is with a roll-out.
+///Progress of one box in a roll-out.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct RolloutProgress {
-    ///Its address for other boxes: the bytes of its IP number, then two of its port.
+    ///Address for other boxes: the bytes of the IP address, then two bytes of the port.
     pub address: ::std::vec::Vec<u8>,
-    ///Whether it has no work at endpoints of other versions, and sends none.
+    ///Whether the box has no requests at endpoints of other versions and sends none.
     pub is_clear: bool,
-    ///The order, by its content.
+    ///Hash of the order's content.
     pub order: u64,
     pub phase: RolloutPhase,
     pub service: ServiceId,
 }
-///One answer of an endpoint while a roll-out is in force.
+///One answer of an endpoint during a roll-out.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct RolloutSample {
     pub endpoint: EndpointId,
-    ///The route, and what of the answer was timed.
+    ///Identifies the route and the timed part of the answer.
     pub series: u32,
-    ///The step of its time, or 255 if it failed.
+    ///Index of its time bucket, or 255 if it failed.
     pub step: u8,
 }
-///A roll-out, as boxes tell it each other.
+///State of a roll-out, as boxes exchange it.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct RolloutState {
-    ///Milliseconds since it was first seen.
+    ///Milliseconds since a box first saw the order.
     pub age_ms: u32,
-    ///Milliseconds that it may take.
+    ///Milliseconds that the roll-out may take.
     pub duration_ms: u32,
-    ///The order, by its content.
+    ///Hash of the order's content.
     pub order: u64,
     pub phase: RolloutPhase,
-    ///Milliseconds since a box that watches roll-outs vouched for it.
+    ///Milliseconds since a box that watches roll-outs confirmed that the order stands.
     pub seen_ms: u32,
     pub service: ServiceId,
-    ///What failure domains know: the own one for other domains, the others for the own one.
+    ///Observations by failure domain: those of the sender's domain go to other domains, those of other domains to boxes of the sender's.
     pub tallies: ::std::vec::Vec<DomainTally>,
     pub target: VersionId,
 }
@@ -2738,19 +2738,19 @@
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct RunningBox {
-    ///Its address for other boxes: the bytes of its IP number, then two of its port.
+    ///Address for other boxes: the bytes of the IP address, then two bytes of the port.
     pub address: ::std::vec::Vec<u8>,
-    ///The last of its beats that the sender knows of.
+    ///Highest heartbeat counter of the box that the sender knows.
     pub beat: u64,
 }
-///Answers of one kind in a failure domain while a roll-out is in force.
+///Answers of one series in a failure domain during a roll-out.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct SeriesTally {
     pub baseline: AnswerTimes,
-    ///The route, and what of an answer was timed.
+    ///Identifies the route and the timed part of the answer.
     pub series: u32,
-    ///Endpoints of the target that answered.
+    ///Number of endpoints of the target version that answered.
     pub servers: u32,
     pub target: AnswerTimes,
     pub worst: AnswerTimes,
@@ -2769,7 +2769,7 @@
     pub calls: ::std::vec::Vec<CallSpec>,
     pub id: ServiceId,
 }
-///A plain service.
+///Identifies a plain service.
 #[derive(::serde::Serialize, Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 #[serde(transparent)]
 pub struct ServiceId(::std::string::String);
@@ -2833,17 +2833,17 @@
     pub service: ServiceId,
     pub slots: u32,
 }
-///What a box has counted for a service since it started.
+///Counts of a box for a service since its start.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceTotals {
-    ///Those requests of the window of the budget.
+    ///Requests in the current window of the retry budget.
     pub recent_requests: u64,
-    ///Those retries of the window of the budget.
+    ///Retries in the current window of the retry budget.
     pub recent_retries: u64,
-    ///Requests of callers.
+    ///Requests from callers.
     pub requests: u64,
-    ///Attempts that were paid from the budget of retries.
+    ///Attempts that were charged to the retry budget.
     pub retries: u64,
     pub service: ServiceId,
 }
@@ -2956,7 +2956,7 @@
     pub slice: SliceId,
     pub term: u64,
 }
-///A slice of a failure domain's key space.
+///Number of a slice of a failure domain's key space.
 #[derive(
     ::serde::Deserialize,
     ::serde::Serialize,
@@ -3025,7 +3025,7 @@
     pub term: u64,
     pub unknown_for: Millis,
 }
-///When an endpoint's process started, by its own clock: Unix milliseconds.
+///When an endpoint's process started, in Unix milliseconds of the endpoint's clock.
 #[derive(
     ::serde::Deserialize,
     ::serde::Serialize,
@@ -3079,47 +3079,47 @@
         value.parse()
     }
 }
-///An entry of the list of endpoints.
+///Entry of the endpoint list.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct StateEntry {
-    ///Its name.
+    ///Name of the entry.
     pub name: ::std::string::String,
-    ///Its content, or nothing once it is gone.
+    ///Content of the entry, or null after its removal.
     #[serde(deserialize_with = "::std::option::Option::deserialize")]
     pub text: ::std::option::Option<::std::string::String>,
 }
-///What a box of the gateway read from the platform, as it was read.
+///Platform state as the answering box read it.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct StateReply {
     pub endpoints: PackedEntries,
-    ///The revision at which the list changed last.
+    ///Store revision of the last change to the endpoint list.
     pub endpoints_at: u64,
-    ///Whether it answers as many boxes as it can, so that this one has to ask another; the rest is empty then.
+    ///Whether the box already answers as many requests as it can; the other fields are then empty and the requester has to try another box.
     pub is_busy: bool,
-    ///Whether the entries are all there are.
+    ///Whether the entries are the complete list rather than changes.
     pub is_whole: bool,
-    ///The configuration.
+    ///Configuration, or null if none newer than requested is known.
     #[serde(deserialize_with = "::std::option::Option::deserialize")]
     pub table: ::std::option::Option<PackedTable>,
 }
-///Asks a box of the gateway for what it read from the platform.
+///Requests the platform state that another box has read.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct StateRequest {
-    ///Changes of the list of endpoints are wanted after this revision.
+    ///Changes of the endpoint list after this revision are requested.
     pub endpoints_after: u64,
-    ///The table is wanted if it is newer than this version.
+    ///The table is requested if it is newer than this version.
     pub table_after: u64,
 }
-///A box that reads the platform's store for others.
+///A box that reads the platform's store on behalf of others.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct StoreReader {
-    ///Its address for other boxes, IP:PORT.
+    ///Address for other boxes, IP:PORT.
     pub address: ::std::string::String,
-    ///Milliseconds since the store answered it last.
+    ///Milliseconds since the store last answered it.
     pub age_ms: u32,
     pub domain: DomainId,
     pub id: BoxId,
@@ -3170,7 +3170,7 @@
     pub request: ::std::option::Option<Request>,
     pub tokens: ::std::vec::Vec<Token>,
 }
-///A position in an answer, in tokens.
+///Position in an answer, in tokens.
 #[derive(
     ::serde::Deserialize,
     ::serde::Serialize,
@@ -3239,34 +3239,34 @@
     pub id: KeyId,
     pub public: ::std::string::String,
 }
-///How many requests began to run at a box, or at all boxes of a failure domain, for those that may report it.
+///Numbers of requests that began to run at a box or in a failure domain, sent to boxes that may have to report usage.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct UsageCountUpdate {
     pub from: BoxId,
     pub incarnation: Incarnation,
-    ///The failure domain whose sums these are; none for the box's own.
+    ///Failure domain whose sums these are; null for the counts of the sending box.
     #[serde(deserialize_with = "::std::option::Option::deserialize")]
     pub of_domain: ::std::option::Option<DomainId>,
-    ///The time of day until which all is counted, in milliseconds since 1970.
+    ///Time until which the counts are complete, in Unix milliseconds.
     pub until_ms: u64,
-    ///The last windows.
+    ///Most recent windows.
     pub windows: ::std::vec::Vec<WindowCounts>,
 }
-///What a box of the gateway has just begun and ended at endpoints, for the boxes of its failure domain.
+///Recent changes of a box's load on endpoints, sent to the boxes of its failure domain.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct UsageUpdate {
-    ///How its attempts ended since it told that last.
+    ///Outcomes of attempts since the previous update.
     pub answers: ::std::vec::Vec<EndpointAnswers>,
     pub from: BoxId,
-    ///How far it is with roll-outs that switch.
+    ///Progress of roll-outs in the switch phase.
     pub rollouts: ::std::vec::Vec<RolloutProgress>,
-    ///Answers of endpoints of services with a roll-out.
+    ///Answers of endpoints whose service has a roll-out.
     pub samples: ::std::vec::Vec<RolloutSample>,
-    ///What it has counted for the services that it runs something of.
+    ///Counts for the services of which the box has running requests.
     pub totals: ::std::vec::Vec<ServiceTotals>,
-    ///All that it runs at the endpoints where it began or ended something.
+    ///Total load of the box on each endpoint where an attempt began or ended.
     pub usage: ::std::vec::Vec<EndpointUsage>,
 }
 ///The version of an endpoint's software.
@@ -3333,13 +3333,13 @@
     pub extra_second: f64,
     pub resume_second: f64,
 }
-///What began at a box in a window of the time of day.
+///Requests that began to run at a box in one usage window, windows being aligned to the wall clock.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct WindowCounts {
-    ///By organisation.
+    ///Counts by organisation.
     pub counts: ::std::vec::Vec<OrganisationCount>,
-    ///The window's number.
+    ///Index of the window, counted from 1970.
     pub window: u64,
 }
 ///A batch of accepted work as the platform keeps it.
--- a/tests/datagram.rs
+++ b/tests/datagram.rs
@@ -1,8 +1,8 @@
-//! Boxes of the version in production and of this one hear each other.
+//! Compatibility of datagrams between this version and the version in production.
 //!
-//! `tests/data/production` holds datagrams as the version that `deploy/system.toml` names as production
-//! wrote them, and its name. What that version reads is a message in postcard, and it leaves what
-//! stands behind.
+//! `tests/data/production` holds datagrams written by the version that `deploy/system.toml` names as
+//! production, and the commit of that version. That version decodes one postcard message and ignores
+//! the bytes that follow it.
 
 use std::path::Path;
 
@@ -57,7 +57,7 @@
     }
 }
 
-fn news() -> UsageUpdate {
+fn usage_update() -> UsageUpdate {
     UsageUpdate {
         from: "box-1".parse().unwrap(),
         usage: vec![usage()],
@@ -104,20 +104,20 @@
 
 fn peer_usage(event: &Event) -> &UsageUpdate {
     match event {
-        Event::PeerUsage(news) => news,
+        Event::PeerUsage(update) => update,
         other => panic!("{other:?}"),
     }
 }
 
-fn told(events: &[Event]) -> &CrashUpdate {
+fn peer_crashes(events: &[Event]) -> &CrashUpdate {
     match events {
-        [_, Event::PeerCrashes { update: news, .. }] => news,
+        [_, Event::PeerCrashes { update, .. }] => update,
         other => panic!("{other:?}"),
     }
 }
 
 #[test]
-fn the_production_version_s_datagrams_are_kept_for_the_commit_that_is_named() {
+fn stored_datagrams_are_those_of_the_production_commit() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     let deploy = std::fs::read_to_string(root.join("deploy/system.toml")).unwrap();
     let named = deploy.lines().find_map(|line| {
@@ -129,54 +129,54 @@
 }
 
 #[test]
-fn what_the_production_version_wrote_is_read() {
+fn datagrams_of_the_production_version_are_decoded() {
     let events = read(&production("state.hex")).unwrap();
     assert_eq!(events.len(), 1);
     assert_eq!(*peer(&events[0]), state());
     let events = read(&production("usage.hex")).unwrap();
     assert_eq!(events.len(), 1);
-    assert_eq!(*peer_usage(&events[0]), news());
+    assert_eq!(*peer_usage(&events[0]), usage_update());
 }
 
 #[test]
-fn without_news_of_crashes_the_bytes_are_those_of_the_production_version() {
+fn datagrams_without_crashes_equal_those_of_the_production_version() {
     let none = CrashUpdate::default();
     assert_eq!(
         write_state(&state(), &none).unwrap(),
         production("state.hex")
     );
     assert_eq!(
-        write_usage(&news(), &none).unwrap(),
+        write_usage(&usage_update(), &none).unwrap(),
         production("usage.hex")
     );
 }
 
-/// The production version reads the message behind the kind with `postcard::from_bytes`.
+/// The production version decodes the message after the kind byte with `postcard::from_bytes`.
 #[test]
-fn the_production_version_passes_over_what_is_new() {
+fn the_production_version_ignores_crash_sections() {
     let bytes = write_state(&state(), &crashes()).unwrap();
     assert_eq!(bytes[0], production("state.hex")[0]);
     let read: BoxState = postcard::from_bytes(&bytes[1..]).unwrap();
     assert_eq!(read, state());
-    let bytes = write_usage(&news(), &crashes()).unwrap();
+    let bytes = write_usage(&usage_update(), &crashes()).unwrap();
     assert_eq!(bytes[0], production("usage.hex")[0]);
     let read: UsageUpdate = postcard::from_bytes(&bytes[1..]).unwrap();
-    assert_eq!(read, news());
+    assert_eq!(read, usage_update());
 }
 
 #[test]
-fn crashes_are_told_behind_a_message() {
+fn crashes_are_read_from_the_section_after_a_message() {
     let events = read(&write_state(&state(), &crashes()).unwrap()).unwrap();
     assert_eq!(*peer(&events[0]), state());
-    assert_eq!(*told(&events), crashes());
-    let events = read(&write_usage(&news(), &crashes()).unwrap()).unwrap();
-    assert_eq!(*peer_usage(&events[0]), news());
-    assert_eq!(*told(&events), crashes());
+    assert_eq!(*peer_crashes(&events), crashes());
+    let events = read(&write_usage(&usage_update(), &crashes()).unwrap()).unwrap();
+    assert_eq!(*peer_usage(&events[0]), usage_update());
+    assert_eq!(*peer_crashes(&events), crashes());
 }
 
-/// A later version may tell more: in sections of its own, and at the end of those that are known.
+/// A later version may add sections, and fields at the end of known sections.
 #[test]
-fn what_a_later_version_adds_is_passed_over() {
+fn additions_of_a_later_version_are_ignored() {
     let later = DatagramSection {
         kind: 999,
         content: vec![1, 2, 3],
@@ -187,11 +187,11 @@
     bytes = postcard::to_extend(&DatagramSection { kind: 1, content }, bytes).unwrap();
     let events = read(&bytes).unwrap();
     assert_eq!(*peer(&events[0]), state());
-    assert_eq!(*told(&events), crashes());
+    assert_eq!(*peer_crashes(&events), crashes());
 }
 
 #[test]
-fn a_section_that_is_cut_off_is_an_error() {
+fn a_truncated_section_is_an_error() {
     let bytes = write_state(&state(), &crashes()).unwrap();
     let message = production("state.hex").len();
     for end in message + 1..bytes.len() {
@@ -199,7 +199,7 @@
     }
 }
 
-fn began() -> UsageCountUpdate {
+fn usage_counts() -> UsageCountUpdate {
     UsageCountUpdate {
         from: "box-1".parse().unwrap(),
         incarnation: Incarnation(77),
@@ -215,22 +215,22 @@
     }
 }
 
-/// The version in production reads a message that tells nothing, and leaves what began behind it.
+/// The version in production decodes the empty message and ignores the usage counts that follow it.
 #[test]
-fn what_began_goes_behind_a_message_that_tells_nothing() {
-    let bytes = write_usage_counts(&began()).unwrap();
+fn usage_counts_follow_an_empty_message() {
+    let bytes = write_usage_counts(&usage_counts()).unwrap();
     let events = read(&bytes).unwrap();
-    let [Event::PeerUsage(nothing), Event::PeerUsageCounts(read)] = &events[..] else {
+    let [Event::PeerUsage(empty), Event::PeerUsageCounts(read)] = &events[..] else {
         panic!("{events:?}");
     };
-    assert_eq!(*read, began());
-    assert!(nothing.usage.is_empty() && nothing.totals.is_empty());
+    assert_eq!(*read, usage_counts());
+    assert!(empty.usage.is_empty() && empty.totals.is_empty());
     let as_production: UsageUpdate = postcard::from_bytes(&bytes[1..]).unwrap();
-    assert_eq!(as_production, *nothing);
+    assert_eq!(as_production, *empty);
 }
 
 #[test]
-fn who_holds_the_duty_goes_behind_a_state() {
+fn the_duty_holder_follows_a_state_message() {
     let holder = DutyHolder {
         token: 412,
         id: "box-1".parse().unwrap(),
@@ -240,19 +240,19 @@
     let message = write_state(&state(), &CrashUpdate::default()).unwrap();
     let bytes = with_holder(message.clone(), Some(holder.clone())).unwrap();
     let events = read(&bytes).unwrap();
-    let [Event::Peer(_), Event::PeerHolder(told)] = &events[..] else {
+    let [Event::Peer(_), Event::PeerHolder(received)] = &events[..] else {
         panic!("{events:?}");
     };
-    assert_eq!(*told, holder);
+    assert_eq!(*received, holder);
     assert_eq!(with_holder(message.clone(), None).unwrap(), message);
     let as_production: BoxState = postcard::from_bytes(&bytes[1..]).unwrap();
     assert_eq!(as_production, state());
 }
 
-/// The version in production reads a message that tells nothing, and leaves limits behind it.
+/// The version in production decodes the empty message and ignores the limits that follow it.
 #[test]
-fn limits_go_behind_a_message_that_tells_nothing() {
-    let news = LimitUpdate {
+fn limits_follow_an_empty_message() {
+    let update = LimitUpdate {
         from: "box-1".parse().unwrap(),
         reply_to: "10.1.0.7:7200".to_owned(),
         is_passed_on: true,
@@ -270,13 +270,13 @@
             permits: 1,
         }],
     };
-    let bytes = write_limits(&news).unwrap();
+    let bytes = write_limits(&update).unwrap();
     let events = read(&bytes).unwrap();
-    let [Event::PeerUsage(nothing), Event::PeerLimits(read)] = &events[..] else {
+    let [Event::PeerUsage(empty), Event::PeerLimits(read)] = &events[..] else {
         panic!("{events:?}");
     };
-    assert_eq!(*read, news);
-    assert!(nothing.usage.is_empty() && nothing.totals.is_empty());
+    assert_eq!(*read, update);
+    assert!(empty.usage.is_empty() && empty.totals.is_empty());
     let as_production: UsageUpdate = postcard::from_bytes(&bytes[1..]).unwrap();
-    assert_eq!(as_production, *nothing);
+    assert_eq!(as_production, *empty);
 }
--- a/tests/explain.rs
+++ b/tests/explain.rs
@@ -1,4 +1,4 @@
-//! What the decision logs tell of a request, and the command that tells it.
+//! Traces of requests from decision logs, and the `explain` command that prints them.
 
 use std::process::Command;
 
@@ -72,8 +72,8 @@
 #[case::no_end(vec![], Cause::NoEnd)]
 #[case::no_endpoint(vec![refused("q", RefusalReason::NoEndpoint, None)], Cause::NoEndpoint)]
 #[case::broken(vec![refused("q", RefusalReason::EndpointFailed, Some(Fault::Closed))], Cause::ConnectionLost)]
-#[case::silent(vec![refused("q", RefusalReason::EndpointFailed, Some(Fault::Silent))], Cause::EndpointSilent)]
-#[case::spoilt(vec![refused("q", RefusalReason::EndpointFailed, Some(Fault::Foreign))], Cause::AnswerSpoilt)]
+#[case::unresponsive(vec![refused("q", RefusalReason::EndpointFailed, Some(Fault::Silent))], Cause::EndpointUnresponsive)]
+#[case::malformed(vec![refused("q", RefusalReason::EndpointFailed, Some(Fault::Foreign))], Cause::AnswerMalformed)]
 #[case::too_late(vec![refused("q", RefusalReason::Expired, None)], Cause::Expired)]
 #[case::no_key(vec![refused("q", RefusalReason::UnknownKey, None)], Cause::UnknownKey)]
 fn the_cause_follows_from_the_last_decision(#[case] more: Vec<Record>, #[case] cause: Cause) {
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn logs_of_several_boxes_are_merged_by_time_and_other_lines_are_left_out() {
+fn logs_of_several_boxes_are_merged_by_time_and_other_lines_are_ignored() {
     let first = format!(
         "noise\n{}\n{{\"at\": 1}}\n",
         line(20, "box-1", answered("q"))
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn a_time_before_the_line_goes_before_the_time_in_it() {
+fn a_prefixed_time_takes_precedence_over_the_time_in_the_line() {
     let late = format!("  14.2 box-1 {}", line(1, "box-1", answered("q")));
     let early = format!("  -3.5 box-2 {}", line(9, "box-2", arrived("q")));
     let lines = read([late.as_str(), early.as_str()]);
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn the_command_tells_a_story_and_lists_failures_by_cause() {
+fn the_command_prints_a_trace_and_lists_failures_by_cause() {
     let name = format!("magpiemoor-{:016x}.log", rand::random::<u64>());
     let log = std::env::temp_dir().join(name);
     let lines = [
--- a/tests/gateway_metrics.rs
+++ b/tests/gateway_metrics.rs
@@ -1,4 +1,4 @@
-//! What the metrics of a gateway count.
+//! Metrics of a gateway: each record of a decision updates its counter or histogram.
 
 use magpiemoor::gateway::dispatch::record::{FETCH_BUSY, FETCHED_WHOLE, Record};
 use magpiemoor::gateway::dispatch::refusal::RefusalReason;
@@ -75,10 +75,10 @@
 
 #[rstest]
 #[case::first(sent(1, false), "sendings_total{kind=\"first\"} 1")]
-#[case::anew(sent(2, false), "sendings_total{kind=\"anew\"} 1")]
-#[case::from_a_copy(sent(2, true), "sendings_total{kind=\"copy\"} 1")]
-#[case::copied(copied(true), "copies_total{result=\"made\"} 1")]
-#[case::not_copied(copied(false), "copies_total{result=\"failed\"} 1")]
+#[case::from_the_prompt(sent(2, false), "sendings_total{kind=\"anew\"} 1")]
+#[case::from_a_replica(sent(2, true), "sendings_total{kind=\"copy\"} 1")]
+#[case::snapshot_taken(copied(true), "copies_total{result=\"made\"} 1")]
+#[case::snapshot_failed(copied(false), "copies_total{result=\"failed\"} 1")]
 #[case::refused(
     refused(RefusalReason::NoEndpoint),
     "refusals_total{reason=\"no_endpoint\"} 1"
@@ -89,9 +89,9 @@
 )]
 #[case::table(Record::TableInForce { version: 7 }, "table_version 7")]
 #[case::fetched(fetched(FETCHED_WHOLE), "table_fetches_total{result=\"whole\"} 1")]
-#[case::turned_away(fetched(FETCH_BUSY), "table_fetches_total{result=\"busy\"} 1")]
+#[case::busy(fetched(FETCH_BUSY), "table_fetches_total{result=\"busy\"} 1")]
 #[case::age_of_a_table(table_read(true), "table_age_seconds_bucket{le=\"0.35\"} 1")]
-#[case::table_that_is_no_news(table_read(false), "table_age_seconds_count 0")]
+#[case::table_that_is_not_newer(table_read(false), "table_age_seconds_count 0")]
 #[case::crash(
     Record::Crashed {
         request: "r".to_owned(),
@@ -109,7 +109,7 @@
 )]
 #[case::not_fetched(fetched("timed out"), "table_fetches_total{result=\"failed\"} 1")]
 #[case::resumed(resumed(), "resume_seconds_bucket{le=\"0.35\"} 1")]
-fn what_is_decided_is_counted(#[case] record: Record, #[case] line: &str) {
+fn each_record_is_counted(#[case] record: Record, #[case] line: &str) {
     let metrics = GatewayMetrics::new();
     metrics.on_record(&record);
     let text = String::from_utf8(metrics.set().text()).unwrap();
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn calls_to_the_store_are_told_apart() {
+fn store_calls_are_counted_by_kind() {
     let metrics = GatewayMetrics::new();
     metrics
         .store_calls_of(&StoreRequest::List { after: None })
--- a/tests/placement_report.rs
+++ b/tests/placement_report.rs
@@ -1,4 +1,4 @@
-//! What `magpiemoor explain --placement` tells from the logs of several boxes.
+//! The report of `magpiemoor explain --placement` on the logs of several boxes.
 
 use magpiemoor::gateway::dispatch::record::{Record, STARTED, WATCHES_STORE};
 use magpiemoor::gateway::explain::{LogLine, TimedLine};
@@ -7,15 +7,15 @@
 
 const SLOTS: u32 = 2;
 
-/// Lines of several boxes, in order.
+/// Log lines of several boxes in order of time.
 #[derive(Default)]
 struct Log(Vec<TimedLine>);
 
 impl Log {
-    fn write(&mut self, seconds: f64, of: &str, record: Record) {
+    fn write(&mut self, seconds: f64, box_id: &str, record: Record) {
         let line = LogLine {
             at: HybridTime(0),
-            r#box: of.to_owned(),
+            r#box: box_id.to_owned(),
             record,
         };
         self.0.push(TimedLine { seconds, line });
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_full_endpoint_is_told_apart_by_the_room_that_others_had() {
+fn attempts_at_a_full_endpoint_are_counted_by_free_slots_elsewhere() {
     let mut log = Log::default();
     log.write(0.0, "box-1", process(STARTED, "north"));
     for (request, endpoint) in [("a", "north-1"), ("b", "south-1"), ("c", "north-2")] {
@@ -83,7 +83,7 @@
     }
     log.sent(2.0, "d", "south-1", 0);
     log.sent(2.0, "e", "south-1", 0);
-    // South's endpoint is full; both of the box's own domain have room.
+    // The endpoint in domain south is full; both in the box's own domain have free slots.
     log.sent(2.1, "f", "south-1", 0);
     log.ended(2.2, "d", "south-1");
     log.ended(2.2, "e", "south-1");
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn prompts_beside_others_are_counted_until_their_first_event() {
+fn concurrent_prefills_are_counted_until_their_first_event() {
     let mut log = Log::default();
     log.write(0.0, "box-1", process(STARTED, "north"));
     for request in ["a", "b", "c", "d"] {
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn a_box_that_starts_anew_runs_nothing_and_readers_of_the_store_are_named() {
+fn a_restarted_box_has_no_attempts_and_boxes_that_watch_the_store_are_listed() {
     let mut log = Log::default();
     log.write(0.0, "box-1", process(STARTED, "north"));
     log.write(0.5, "box-1", process(WATCHES_STORE, "others that watch: 0"));
--- a/tests/stream_report.rs
+++ b/tests/stream_report.rs
@@ -1,11 +1,11 @@
-//! What the decision logs tell of streams as a whole.
+//! The report on streams, made from decision logs.
 
 use magpiemoor::gateway::dispatch::record::Record;
 use magpiemoor::gateway::explain::{Cause, LogLine, read, traces};
 use magpiemoor::gateway::stream_report::{Continuation, StreamReport, report};
 use magpiemoor::schema::HybridTime;
 
-/// A stream's records, each with the milliseconds at which it was written.
+/// Records of a stream, each with its time in milliseconds.
 type Lines = Vec<(u64, Record)>;
 
 fn arrived(request: &str) -> Record {
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn an_undisturbed_stream_gives_the_times_of_its_first_event_and_of_the_others() {
+fn a_stream_with_one_attempt_gives_the_times_of_its_first_and_later_events() {
     let report = report_of(vec![vec![
         (0, arrived("q")),
         (1, sent("q", 1, "e")),
@@ -104,7 +104,7 @@
         (5_200, answered("q", 5_200)),
     ]]);
     assert_eq!(report.streams, 1);
-    // 5,000 tokens take 1,000 ms alone; 100 events came within 4,000 ms.
+    // The prefill of 5,000 tokens takes 1,000 ms; 100 further events arrive within 4,000 ms.
     assert!((report.first_event_over_prompt.p50_ms - 200.0).abs() < 1.0);
     assert!((report.event.p50_ms - 40.0).abs() < 0.5);
     assert_eq!(report.ends[&Cause::Answered], 1);
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn a_pause_is_told_by_how_the_attempt_before_ended_and_how_the_stream_went_on() {
+fn pauses_are_grouped_by_the_previous_outcome_and_the_continuation() {
     let from_mirror = vec![
         (0, arrived("q")),
         (1, sent("q", 1, "e")),
@@ -141,7 +141,7 @@
         .collect();
     let expected = [
         ("closed", Continuation::FromReplica, 1, 0),
-        ("misdirected", Continuation::Anew, 1, 1),
+        ("misdirected", Continuation::FromPrompt, 1, 1),
     ];
     assert_eq!(causes, expected);
     assert_eq!(report.anew["misdirected"], 1);
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn a_snapshot_that_is_gone_on_from_and_one_that_could_not_be_taken_are_counted() {
+fn used_and_failed_snapshots_are_counted() {
     let report = report_of(vec![vec![
         (0, arrived("q")),
         (1, sent("q", 1, "e")),
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn calls_without_a_prompt_are_no_streams() {
+fn calls_without_a_prompt_are_not_streams() {
     let call = Record::Arrived {
         request: "q".to_owned(),
         route: "r".to_owned(),
