--- a/src/gateway/shell.rs
+++ b/src/gateway/shell.rs
@@ -1,8 +1,8 @@
-//! The shell around [`crate::gateway::dispatch`]: sockets, threads and signals of a gateway box.
+//! I/O around [`crate::gateway::dispatch`]: sockets, threads and signals of a gateway box.
 //!
-//! One control thread owns the dispatcher and is the only one that touches it; traffic threads
-//! move bytes. What differs between the outsides that a gateway can stand between is behind
-//! [`dialect::Dialect`].
+//! One control thread owns the dispatcher, and no other thread accesses it; traffic threads move
+//! bytes. [`dialect::Dialect`] hides the differences between the platforms, callers and engines
+//! that a gateway can connect.
 
 pub mod attempt;
 pub mod callers;
@@ -52,13 +52,13 @@
 
 pub use shared::GatewayShared;
 
-/// How many inputs may wait for the control thread before senders wait.
-const DISPATCHER_INPUTS: usize = 16_384;
-/// How long a connection to an endpoint may rest before it is closed. A little longer than any
-/// attempt may reuse one.
-const REST_BEFORE_CLOSE: std::time::Duration = std::time::Duration::from_secs(5);
-/// How long a connection may rest before there is a configuration.
-const UNCONFIGURED_IDLE: std::time::Duration = std::time::Duration::from_secs(15);
+/// Capacity of the control thread's queue, in inputs; senders wait while it is full.
+const DISPATCHER_QUEUE_LENGTH: usize = 16_384;
+/// Idle time after which a connection to an endpoint is closed: slightly longer than the idle time
+/// up to which an attempt reuses one.
+const IDLE_CONNECTION_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(5);
+/// Timeout for a request's head while there is no configuration.
+const UNCONFIGURED_HEAD_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(15);
 
 struct Listeners {
     callers: TcpListener,
@@ -81,11 +81,11 @@
     }
 }
 
-/// Runs a gateway until it has stopped. The settings file is read again when it changes.
+/// Runs a gateway until it has stopped. Reloads the settings file when it changes.
 ///
 /// # Errors
 ///
-/// Says which address can't be listened on, or that threads can't be started.
+/// Returns the address that can't be listened on, or that threads can't be started.
 pub fn run(
     settings: GatewaySettings,
     file: Option<PathBuf>,
@@ -102,7 +102,7 @@
         .build()
         .map_err(DaemonError::Threads)?;
     let listeners = runtime.block_on(Listeners::bind(&settings))?;
-    let (inputs, received) = mpsc::channel(DISPATCHER_INPUTS);
+    let (inputs, received) = mpsc::channel(DISPATCHER_QUEUE_LENGTH);
     let shared = GatewayShared::start(settings, dialect, inputs, std::io::stdout())?;
     let gossip = Arc::clone(&listeners.gossip);
     let dispatcher = new_dispatcher(&shared);
@@ -117,13 +117,13 @@
         .spawn(move || control_runtime.block_on(control.run(received)))
         .map_err(DaemonError::Threads)?;
     if thread.join().is_err() {
-        log::error!("the control thread ended by a fault; the process ends");
+        log::error!("the control thread panicked; the process exits");
     }
     runtime.shutdown_timeout(std::time::Duration::from_millis(100));
     Ok(())
 }
 
-/// Starts what runs beside the control thread.
+/// Starts the tasks that run on the traffic threads.
 fn spawn_tasks(
     runtime: &Runtime,
     listeners: Listeners,
@@ -142,7 +142,7 @@
     runtime.spawn(duties::send_time_of_day(shared.clone()));
     runtime.spawn(pool::sweep_resting(
         Arc::clone(&shared.pool),
-        REST_BEFORE_CLOSE,
+        IDLE_CONNECTION_TIMEOUT,
     ));
     runtime.spawn(stop::stop_on_signal(shared.clone()));
     runtime.spawn(stop::reload_on_change(file, shared.clone()));
@@ -171,7 +171,7 @@
     let options = move || {
         let limits = shared.limits();
         ServeOptions {
-            head_timeout: limits.map_or(UNCONFIGURED_IDLE, |l| l.idle),
+            head_timeout: limits.map_or(UNCONFIGURED_HEAD_TIMEOUT, |l| l.idle),
             head_bytes: limits.map_or(0, |l| l.head_bytes),
             closing: shared.closing.subscribe(),
         }
--- a/src/gateway/shell/datagram.rs
+++ b/src/gateway/shell/datagram.rs
@@ -1,10 +1,10 @@
-//! How datagrams between boxes are encoded.
+//! Encoding of datagrams between boxes.
 //!
 //! A datagram is a byte for its kind, a message in postcard, and sections. Postcard isn't
-//! self-describing, so messages stay as boxes in production know them. What is new goes into a section
-//! of its own behind the message: a box that knows none reads the message and leaves the rest, one that
-//! doesn't know a section's kind passes over it, and bytes behind what it knows of a section are left
-//! too. Weighed in docs/design/evolution.md.
+//! self-describing, so the formats of messages never change. New data goes into a section of its own
+//! after the message: a box that doesn't know sections reads the message and ignores the rest, a
+//! box that doesn't know a section's kind skips it, and bytes after the known content of a section
+//! are ignored too. docs/design/evolution.md compares the alternatives.
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -16,39 +16,42 @@
 };
 
 /// The first byte of a datagram with a [`BoxState`].
-const STATE: u8 = 5;
+const STATE_MESSAGE: u8 = 5;
 /// The first byte of a datagram with [`UsageUpdate`].
-const USAGE: u8 = 4;
+const USAGE_MESSAGE: u8 = 4;
 /// The kind of a section with [`CrashUpdate`].
-const CRASHES: u16 = 1;
+const CRASHES_SECTION: u16 = 1;
 /// The kind of a section with [`UsageCountUpdate`].
-const BEGAN: u16 = 2;
+const USAGE_COUNTS_SECTION: u16 = 2;
 /// The kind of a section with a [`DutyHolder`].
-const HOLDER: u16 = 3;
+const HOLDER_SECTION: u16 = 3;
 /// The kind of a section with [`LimitUpdate`].
-const LIMITS: u16 = 4;
+const LIMITS_SECTION: u16 = 4;
 
-/// The datagram with a box's state.
+/// Encodes a box's state as a datagram.
 ///
 /// # Errors
 ///
 /// If it can't be encoded.
 pub fn write_state(state: &BoxState, crashes: &CrashUpdate) -> Result<Vec<u8>, postcard::Error> {
-    let message = postcard::to_extend(state, vec![STATE])?;
+    let message = postcard::to_extend(state, vec![STATE_MESSAGE])?;
     with_crashes(message, crashes)
 }
 
-/// The datagram with what a box has just begun and ended.
+/// Encodes a box's recent starts and ends of attempts as a datagram.
 ///
 /// # Errors
 ///
 /// If it can't be encoded.
-pub fn write_usage(news: &UsageUpdate, crashes: &CrashUpdate) -> Result<Vec<u8>, postcard::Error> {
-    let message = postcard::to_extend(news, vec![USAGE])?;
+pub fn write_usage(
+    update: &UsageUpdate,
+    crashes: &CrashUpdate,
+) -> Result<Vec<u8>, postcard::Error> {
+    let message = postcard::to_extend(update, vec![USAGE_MESSAGE])?;
     with_crashes(message, crashes)
 }
 
-/// Adds who holds the duty to report usage to a datagram with a box's state.
+/// Adds the holder of the duty to report usage to a datagram with a box's state.
 ///
 /// # Errors
 ///
@@ -58,32 +61,32 @@
     holder: Option<DutyHolder>,
 ) -> Result<Vec<u8>, postcard::Error> {
     match holder {
-        Some(holder) => with_section(message, HOLDER, &holder),
+        Some(holder) => with_section(message, HOLDER_SECTION, &holder),
         None => Ok(message),
     }
 }
 
-/// The datagram with how many requests began to run at a box, behind a message that tells nothing.
+/// Encodes the numbers of requests that started to run at a box, as a section after an empty message.
 ///
 /// # Errors
 ///
 /// If it can't be encoded.
-pub fn write_usage_counts(began: &UsageCountUpdate) -> Result<Vec<u8>, postcard::Error> {
-    with_section(telling_nothing(&began.from)?, BEGAN, began)
+pub fn write_usage_counts(counts: &UsageCountUpdate) -> Result<Vec<u8>, postcard::Error> {
+    with_section(empty_message(&counts.from)?, USAGE_COUNTS_SECTION, counts)
 }
 
-/// The datagram with what a box tells of limits, behind a message that tells nothing.
+/// Encodes a box's update of limits, as a section after an empty message.
 ///
 /// # Errors
 ///
 /// If it can't be encoded.
-pub fn write_limits(news: &LimitUpdate) -> Result<Vec<u8>, postcard::Error> {
-    with_section(telling_nothing(&news.from)?, LIMITS, news)
+pub fn write_limits(update: &LimitUpdate) -> Result<Vec<u8>, postcard::Error> {
+    with_section(empty_message(&update.from)?, LIMITS_SECTION, update)
 }
 
-/// A message that tells nothing, for what stands behind it.
-fn telling_nothing(from: &BoxId) -> Result<Vec<u8>, postcard::Error> {
-    let nothing = UsageUpdate {
+/// A message without content, to which a section is added.
+fn empty_message(from: &BoxId) -> Result<Vec<u8>, postcard::Error> {
+    let empty = UsageUpdate {
         from: from.clone(),
         usage: Vec::new(),
         answers: Vec::new(),
@@ -91,14 +94,14 @@
         samples: Vec::new(),
         rollouts: Vec::new(),
     };
-    postcard::to_extend(&nothing, vec![USAGE])
+    postcard::to_extend(&empty, vec![USAGE_MESSAGE])
 }
 
 fn with_crashes(message: Vec<u8>, crashes: &CrashUpdate) -> Result<Vec<u8>, postcard::Error> {
     if *crashes == CrashUpdate::default() {
         return Ok(message);
     }
-    with_section(message, CRASHES, crashes)
+    with_section(message, CRASHES_SECTION, crashes)
 }
 
 fn with_section(
@@ -110,41 +113,38 @@
     postcard::to_extend(&DatagramSection { kind, content }, message)
 }
 
-/// Reads a datagram of another box: its message, and what its sections tell.
+/// Decodes a datagram of another box: an event for its message, and one for each known section.
 ///
 /// # Errors
 ///
-/// If it is of an unknown kind, or can't be read.
+/// If its kind is unknown, or it can't be decoded.
 pub fn read(bytes: &[u8]) -> Result<Vec<Event>, postcard::Error> {
     let (kind, body) = bytes
         .split_first()
         .ok_or(postcard::Error::DeserializeUnexpectedEnd)?;
     let (message, domain, sections) = match *kind {
-        STATE => {
+        STATE_MESSAGE => {
             let (state, sections) = postcard::take_from_bytes::<BoxState>(body)?;
             let domain = Some(state.domain.clone());
             (Event::Peer(state), domain, sections)
         }
-        USAGE => {
-            let (news, sections) = postcard::take_from_bytes(body)?;
-            (Event::PeerUsage(news), None, sections)
+        USAGE_MESSAGE => {
+            let (update, sections) = postcard::take_from_bytes(body)?;
+            (Event::PeerUsage(update), None, sections)
         }
         _ => return Err(postcard::Error::DeserializeBadEnum),
     };
     let mut events = vec![message];
     for section in read_sections(sections)? {
-        if section.kind == CRASHES {
-            let news = read_content(&section)?;
+        if section.kind == CRASHES_SECTION {
+            let update = read_content(&section)?;
             let domain = domain.clone();
-            events.push(Event::PeerCrashes {
-                domain,
-                update: news,
-            });
-        } else if section.kind == HOLDER {
+            events.push(Event::PeerCrashes { domain, update });
+        } else if section.kind == HOLDER_SECTION {
             events.push(Event::PeerHolder(read_content(&section)?));
-        } else if section.kind == BEGAN {
+        } else if section.kind == USAGE_COUNTS_SECTION {
             events.push(Event::PeerUsageCounts(read_content(&section)?));
-        } else if section.kind == LIMITS {
+        } else if section.kind == LIMITS_SECTION {
             events.push(Event::PeerLimits(read_content(&section)?));
         }
     }
--- a/src/gateway/shell/duties.rs
+++ b/src/gateway/shell/duties.rs
@@ -1,7 +1,7 @@
-//! The calls that a duty needs: to the platform's store, and to where usage is reported.
+//! Calls for the duty to report usage: to the platform's store, and to the receiver of the reports.
 //!
-//! Whether a call was done is not guessed: without an answer the duty's object is read again, and a
-//! report is sent again as it was.
+//! Without an answer it is unknown whether a call took effect: the dispatcher then reads the duty's
+//! object again, and sends a report again unchanged.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -21,14 +21,14 @@
 use crate::gateway::shell::input::Input;
 use crate::http::pool::Pool;
 
-/// How often the time of day is read.
-const READ_EVERY: Duration = Duration::from_millis(500);
-/// How long a connection may take: the lease was looked at before.
-const CONNECT_LIMIT: Duration = Duration::from_millis(300);
-/// How long a call may take.
-const CALL_LIMIT: Duration = Duration::from_millis(1_500);
+/// Interval of [`send_time_of_day`].
+const TIME_OF_DAY_INTERVAL: Duration = Duration::from_millis(500);
+/// Timeout for connecting; short, since the lease was checked before the call.
+const DUTY_CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+/// Timeout for a whole call, including the connection.
+const DUTY_CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Tells the control thread the time of day, where a duty asks for it.
+/// Sends the time of day to the control thread at intervals, if usage is to be reported.
 pub async fn send_time_of_day(shared: GatewayShared) {
     if shared.settings.usage.is_none() {
         return;
@@ -36,11 +36,11 @@
     loop {
         let day = UnixMillis(wall_millis());
         shared.send(Input::Event(Event::TimeOfDay(day))).await;
-        tokio::time::sleep(READ_EVERY).await;
+        tokio::time::sleep(TIME_OF_DAY_INTERVAL).await;
     }
 }
 
-/// Calls the store.
+/// Calls the store for the duty, and sends the answer to the control thread.
 pub async fn call_store(call: StoreCall, shared: GatewayShared) {
     match call.operation {
         StoreOperation::Read => shared.metrics.store_reads().inc(),
@@ -48,8 +48,8 @@
             shared.metrics.store_writes().inc();
         }
     }
-    let wanted = shared.dialect.duty_call(&call.operation);
-    let answered = send(wanted, shared.settings.platform).await;
+    let request = shared.dialect.duty_call(&call.operation);
+    let answered = send(request, shared.settings.platform).await;
     let answer = answered.map_or(DutyAnswer::Unknown, |(status, body)| {
         shared.dialect.read_duty(&call.operation, status, &body)
     });
@@ -60,24 +60,24 @@
     shared.send(Input::Event(event)).await;
 }
 
-/// Reports the usage of a window.
+/// Reports the usage of a window, and sends the outcome to the control thread.
 pub async fn report(token: u64, window: SettledWindow, shared: GatewayShared) {
     let Some(usage) = &shared.settings.usage else {
         return;
     };
     let holder = &shared.settings.box_id;
-    let wanted = shared.dialect.usage_report(holder, token, &window);
-    let answered = send(wanted, usage.address).await;
+    let request = shared.dialect.usage_report(holder, token, &window);
+    let answered = send(request, usage.address).await;
     let outcome = match answered.map(|(status, _)| status) {
         Some(status) if status.is_success() => ReportOutcome::Taken,
         Some(StatusCode::CONFLICT) => ReportOutcome::Fenced,
         Some(_) | None => ReportOutcome::Unknown,
     };
-    let began: u64 = window.counts.values().sum();
+    let started: u64 = window.counts.values().sum();
     shared.record(&Record::Process {
         state: "usage_report".into(),
         detail: format!(
-            "window {}, {began} requests, token {token}: {outcome:?}",
+            "window {}, {started} requests, token {token}: {outcome:?}",
             window.window.0
         ),
     });
@@ -96,11 +96,11 @@
         *request.headers_mut() = call.headers;
         let json = HeaderValue::from_static("application/json");
         request.headers_mut().insert(CONTENT_TYPE, json);
-        let mut connection = Pool::connect(to, CONNECT_LIMIT).await.ok()?;
+        let mut connection = Pool::connect(to, DUTY_CONNECT_TIMEOUT).await.ok()?;
         let (head, body) = connection.exchange(request).await?;
         Some((head.status, body))
     };
-    tokio::time::timeout(CALL_LIMIT, answer)
+    tokio::time::timeout(DUTY_CALL_TIMEOUT, answer)
         .await
         .ok()
         .flatten()
--- a/src/gateway/shell/endpoint_reader.rs
+++ b/src/gateway/shell/endpoint_reader.rs
@@ -1,10 +1,10 @@
-//! Reads entries of the list of endpoints, each alone, wherever they came from, and keeps them for
-//! peers.
+//! Reads entries of the list of endpoints from the store or from a peer, each independently, and
+//! caches them for peers.
 //!
-//! Other writers make entries too. One that can't be read names no endpoint to use and spoils no
-//! other; a peer that gets it passed on comes to the same verdict. It is counted and told once, by its
-//! name. One whose name can't be an endpoint's is left out, and no text of an entry takes more than
-//! [`LONGEST_ENTRY`].
+//! Other programs write entries too. An entry that can't be read makes no endpoint available and
+//! doesn't affect other entries; it is passed on, and peers treat it in the same way. It is counted and
+//! logged once, with its name. An entry whose name isn't a valid endpoint id is skipped, and a text
+//! longer than [`MAX_ENTRY_BYTES`] is replaced by an empty one, which can't be read either.
 
 use crate::gateway::dispatch::event::{EndpointChange, EndpointSpec, Event};
 use crate::gateway::shell::GatewayShared;
@@ -13,26 +13,26 @@
 use crate::gateway::shell::watcher::StoreChange;
 use crate::schema::EndpointId;
 
-/// The longest entry that is read, in bytes: an endpoint's own is some 300 bytes.
-const LONGEST_ENTRY: usize = 16 << 10;
+/// Maximum length of an entry that is read, in bytes; an entry that an endpoint writes has about 300.
+const MAX_ENTRY_BYTES: usize = 16 << 10;
 
-/// Keeps entries that were read at a revision of the store for peers; returns what they say, if any
-/// of them has changed.
-pub fn take_endpoints(change: StoreChange, at: u64, shared: &GatewayShared) -> Option<Event> {
+/// Caches entries that were read at a revision of the store for peers; returns the event for the
+/// dispatcher, or `None` if nothing has changed.
+pub fn load_endpoints(change: StoreChange, at: u64, shared: &GatewayShared) -> Option<Event> {
     let (entries, is_whole) = match change {
         StoreChange::Listed(entries) => (entries, true),
         StoreChange::Changed(entries) => (entries, false),
     };
-    let named = entries.into_iter().filter_map(|e| named(e, shared));
+    let named = entries.into_iter().filter_map(|e| with_id(e, shared));
     let (ids, entries): (Vec<EndpointId>, Vec<Entry>) = named.unzip();
     let at = shared.cache_endpoints(&entries, is_whole, at)?;
     let named = ids.iter().zip(&entries);
-    let changes = named.map(|(id, entry)| change_of(id, entry, shared));
+    let changes = named.map(|(id, entry)| read_change(id, entry, shared));
     let changes: Vec<EndpointChange> = changes.collect();
     if !is_whole {
         return Some(Event::EndpointsChanged { changes, at });
     }
-    let (specs, unreadable) = whole_list(changes);
+    let (specs, unreadable) = split_list(changes);
     Some(Event::EndpointsListed {
         specs,
         unreadable,
@@ -40,12 +40,12 @@
     })
 }
 
-/// An entry with the id of its endpoint, if its name can be one; a text that is too long is left out.
-fn named(entry: Entry, shared: &GatewayShared) -> Option<(EndpointId, Entry)> {
+/// An entry with the id of its endpoint, if its name is a valid id. Clears a text that is too long.
+fn with_id(entry: Entry, shared: &GatewayShared) -> Option<(EndpointId, Entry)> {
     let id = match entry.name.parse() {
         Ok(id) => id,
         Err(e) => {
-            let detail = format_args!("{:?}: {e}; take the entry away", entry.name);
+            let detail = format_args!("{:?}: {e}; remove the entry", entry.name);
             shared
                 .faults
                 .report_once(FaultKind::EndpointEntry, &entry.name, &detail);
@@ -55,7 +55,7 @@
     let is_too_long = entry
         .text
         .as_ref()
-        .is_some_and(|text| text.len() > LONGEST_ENTRY);
+        .is_some_and(|text| text.len() > MAX_ENTRY_BYTES);
     let text = if is_too_long {
         Some(String::new())
     } else {
@@ -64,8 +64,8 @@
     Some((id, Entry { text, ..entry }))
 }
 
-/// What an entry says of its endpoint.
-fn change_of(id: &EndpointId, entry: &Entry, shared: &GatewayShared) -> EndpointChange {
+/// Reads the change of an endpoint from its entry.
+fn read_change(id: &EndpointId, entry: &Entry, shared: &GatewayShared) -> EndpointChange {
     let Some(text) = &entry.text else {
         return EndpointChange::Absent(id.clone());
     };
@@ -81,8 +81,8 @@
     }
 }
 
-/// The endpoints of a whole list, and those whose entries can't be read.
-fn whole_list(changes: Vec<EndpointChange>) -> (Vec<EndpointSpec>, Vec<EndpointId>) {
+/// Splits a full list into endpoints and the ids of entries that can't be read.
+fn split_list(changes: Vec<EndpointChange>) -> (Vec<EndpointSpec>, Vec<EndpointId>) {
     let mut specs = Vec::new();
     let mut unreadable = Vec::new();
     for change in changes {
--- a/src/gateway/shell/faults.rs
+++ b/src/gateway/shell/faults.rs
@@ -1,7 +1,6 @@
-//! Faults that cost no request by themselves: what comes from outside and can't be read, and
-//! messages that can't be sent. Each is counted by kind, and told in the log at most once a second
-//! and kind. What lies in the store and can't be read comes again with each list: it is counted and
-//! told once.
+//! Faults that fail no request by themselves: input from outside that can't be read, and messages
+//! that can't be sent. Each is counted by kind, and logged at most once a second and kind. An object of
+//! the store that can't be read is read again with each list, so it is counted and logged once.
 
 use std::collections::HashSet;
 use std::fmt;
@@ -13,39 +12,39 @@
 
 use crate::metrics::MetricSet;
 
-/// The least time between two lines of one kind.
-const LINE_PAUSE: Duration = Duration::from_secs(1);
-/// How many objects of the store that can't be read are remembered as told; beyond it all are
-/// forgotten, and told again.
-const MOST_REMEMBERED: usize = 4_096;
+/// Minimum time between two log lines of one kind.
+const MIN_LOG_INTERVAL: Duration = Duration::from_secs(1);
+/// Maximum number of unreadable objects of the store that are remembered as logged; above it all are
+/// forgotten, and logged again.
+const MAX_REMEMBERED_FAULTS: usize = 4_096;
 
-/// What went wrong.
+/// Kind of a fault.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum FaultKind {
     /// The store's answer can't be read.
     StoreAnswer,
-    /// An entry of the list of endpoints can't be read; it names no endpoint to use.
+    /// An entry of the list of endpoints can't be read; it makes no endpoint available.
     EndpointEntry,
-    /// An object of the store has no name that can be read.
+    /// An object of the store has no readable name.
     UnnamedObject,
-    /// An object that orders a roll-out can't be read; it orders nothing.
+    /// The object of a roll-out order can't be read; it has no effect.
     RolloutObject,
-    /// An object that says that a request is quarantined can't be read; it quarantines nothing.
+    /// The object of a quarantined request can't be read; it has no effect.
     QuarantineObject,
     /// A datagram of another box can't be read.
     PeerMessage,
-    /// Datagrams to other boxes can't be made, sent or received.
+    /// A datagram to other boxes can't be encoded or sent, or the socket for peers failed.
     PeerSocket,
-    /// Another box did not answer what it was asked for.
+    /// A fetch from another box failed.
     PeerFetch,
     /// An engine's answer to a request for a snapshot can't be read.
     SnapshotAnswer,
-    /// The limit that an endpoint names can't be read; the one before stays in force.
+    /// The limit in an endpoint's answer can't be read; the previous one stays in force.
     EndpointLimit,
 }
 
 impl FaultKind {
-    /// All kinds, in the order of their numbers.
+    /// All kinds, in the order of their discriminants.
     pub const ALL: [Self; 10] = [
         Self::StoreAnswer,
         Self::EndpointEntry,
@@ -59,7 +58,7 @@
         Self::EndpointLimit,
     ];
 
-    /// The word for it in metrics and lines.
+    /// The value of the metric's label `kind`, and the prefix of log lines.
     #[must_use]
     pub fn label(self) -> &'static str {
         match self {
@@ -77,16 +76,16 @@
     }
 }
 
-/// Counts and tells of faults.
+/// Counts and logs faults.
 #[derive(Debug)]
 pub struct Faults {
     counts: IntCounterVec,
-    last_lines: Mutex<[Option<Instant>; FaultKind::ALL.len()]>,
-    told: Mutex<HashSet<u64>>,
+    last_logged: Mutex<[Option<Instant>; FaultKind::ALL.len()]>,
+    logged: Mutex<HashSet<u64>>,
 }
 
 impl Faults {
-    /// Registers the counter.
+    /// Registers the counter `faults_total`.
     #[must_use]
     pub fn new(set: &MetricSet) -> Self {
         let counts = set.counters(
@@ -96,42 +95,42 @@
         );
         Self {
             counts,
-            last_lines: Mutex::default(),
-            told: Mutex::default(),
+            last_logged: Mutex::default(),
+            logged: Mutex::default(),
         }
     }
 
-    /// Counts a fault; tells of it unless one of its kind was told within the last second.
+    /// Counts a fault; logs it unless one of its kind was logged within the last second.
     pub fn report(&self, kind: FaultKind, detail: &dyn fmt::Display) {
         self.counts.with_label_values(&[kind.label()]).inc();
-        if self.may_tell(kind) {
+        if self.should_log(kind) {
             log::warn!("{}: {detail}", kind.label());
         }
     }
 
-    /// Notes a fault of something that stays, by its content, the first time it is met.
+    /// Reports a fault of a persistent object only the first time that its content is seen.
     pub fn report_once(&self, kind: FaultKind, content: &str, detail: &dyn fmt::Display) {
-        let mut told = self.told.lock().unwrap_or_else(PoisonError::into_inner);
-        if told.len() >= MOST_REMEMBERED {
-            told.clear();
+        let mut logged = self.logged.lock().unwrap_or_else(PoisonError::into_inner);
+        if logged.len() >= MAX_REMEMBERED_FAULTS {
+            logged.clear();
         }
-        let is_new = told.insert(xxh3_64_with_seed(content.as_bytes(), kind as u64));
-        drop(told);
+        let is_new = logged.insert(xxh3_64_with_seed(content.as_bytes(), kind as u64));
+        drop(logged);
         if is_new {
             self.report(kind, detail);
         }
     }
 
-    fn may_tell(&self, kind: FaultKind) -> bool {
-        let mut lines = self
-            .last_lines
+    fn should_log(&self, kind: FaultKind) -> bool {
+        let mut last_logged = self
+            .last_logged
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        let last = &mut lines[kind as usize];
-        let may = last.is_none_or(|at| at.elapsed() >= LINE_PAUSE);
-        if may {
+        let last = &mut last_logged[kind as usize];
+        let is_due = last.is_none_or(|at| at.elapsed() >= MIN_LOG_INTERVAL);
+        if is_due {
             *last = Some(Instant::now());
         }
-        may
+        is_due
     }
 }
--- a/src/gateway/shell/packed.rs
+++ b/src/gateway/shell/packed.rs
@@ -1,7 +1,7 @@
-//! A configuration as it goes between boxes: its text, deflated.
+//! Text compressed with deflate, as boxes send it to each other.
 //!
-//! The box that reads it from the store packs it once; the others pass on the bytes that they got.
-//! 1,400 routes are 0.27 MB of text, which 10 Mbit/s carry in 0.21 s.
+//! The box that reads a configuration from the store packs it once; the others pass on the bytes
+//! that they received. 1,400 routes are 0.27 MB of text, which takes 0.21 s at 10 Mbit/s.
 
 use std::io::{Error, ErrorKind, Read, Result};
 use std::sync::Arc;
@@ -9,27 +9,27 @@
 use flate2::Compression;
 use flate2::read::{DeflateDecoder, DeflateEncoder};
 
-/// The longest text that is packed or unpacked, in bytes: 16 times what the users' store holds in
-/// one object.
-const LONGEST_TEXT: usize = 16 << 20;
+/// Maximum length of a text that is packed or unpacked, in bytes: 16 times the size limit of an object
+/// in the users' store.
+const MAX_TEXT_BYTES: usize = 16 << 20;
 
-/// A deflated text.
+/// A text compressed with deflate.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct PackedText {
-    /// Bytes of the text.
+    /// Length of the unpacked text, in bytes.
     pub text_bytes: u32,
-    /// The deflated bytes.
+    /// The compressed bytes.
     pub bytes: Arc<[u8]>,
 }
 
 impl PackedText {
-    /// Packs a text.
+    /// Compresses a text.
     ///
     /// # Errors
     ///
-    /// If it is too long.
+    /// If it is longer than 16 MiB.
     pub fn pack(text: &str) -> Result<Self> {
-        if text.len() > LONGEST_TEXT {
+        if text.len() > MAX_TEXT_BYTES {
             return Err(too_long());
         }
         let mut bytes = Vec::new();
@@ -40,14 +40,14 @@
         })
     }
 
-    /// The text.
+    /// Decompresses the text.
     ///
     /// # Errors
     ///
-    /// If the bytes are no deflated text of that length.
+    /// If the bytes aren't a compressed text of length `text_bytes`, or that exceeds 16 MiB.
     pub fn unpack(&self) -> Result<String> {
         let length = self.text_bytes as usize;
-        if length > LONGEST_TEXT {
+        if length > MAX_TEXT_BYTES {
             return Err(too_long());
         }
         let mut text = String::with_capacity(length);
@@ -56,7 +56,7 @@
         if text.len() != length {
             return Err(Error::new(
                 ErrorKind::InvalidData,
-                "a text of another length",
+                "the unpacked text doesn't have the stated length",
             ));
         }
         Ok(text)
@@ -64,5 +64,5 @@
 }
 
 fn too_long() -> Error {
-    Error::new(ErrorKind::InvalidData, "a text of more than 16 MB")
+    Error::new(ErrorKind::InvalidData, "the text is longer than 16 MiB")
 }
--- a/src/gateway/shell/peers.rs
+++ b/src/gateway/shell/peers.rs
@@ -1,8 +1,8 @@
-//! The state of each box, told to others by UDP.
+//! Gossip by UDP: sends the state of this box to others, and receives theirs.
 //!
-//! How datagrams are encoded is in [`super::datagram`]. One that is lost is made good by the next one,
-//! and counted as a fault if this box could not send or read it. What was read from the platform goes
-//! by TCP, see [`super::transfer`].
+//! [`super::datagram`] defines the encoding. A lost datagram is made up for by the next one; one that
+//! this box can't send or read is counted as a fault. Objects of the platform's store are transferred
+//! by TCP ([`super::transfer`]).
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,12 +14,12 @@
 use crate::gateway::shell::input::Input;
 use crate::gateway::shell::{GatewayShared, datagram};
 
-/// The longest datagram.
-const LONGEST_DATAGRAM: usize = 32 << 10;
-/// The pause after a socket failed, for which the reason is mostly a lack of descriptors.
-pub(super) const SOCKET_PAUSE: Duration = Duration::from_millis(10);
+/// Maximum length of a datagram, in bytes.
+const MAX_DATAGRAM_BYTES: usize = 32 << 10;
+/// Delay after a socket error; the usual cause is a lack of file descriptors.
+pub(super) const SOCKET_ERROR_DELAY: Duration = Duration::from_millis(10);
 
-/// Sends a datagram to other boxes.
+/// Sends a datagram to other boxes; reports a fault if it couldn't be encoded or sent.
 pub async fn send(
     socket: Arc<UdpSocket>,
     to: Vec<SocketAddr>,
@@ -38,15 +38,15 @@
     }
 }
 
-/// Receives what other boxes send by UDP, for as long as the process runs.
+/// Receives datagrams of other boxes until the process exits.
 pub async fn receive(socket: Arc<UdpSocket>, shared: GatewayShared) {
-    let mut buf = vec![0; LONGEST_DATAGRAM];
+    let mut buf = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         let length = match socket.recv_from(&mut buf).await {
             Ok((length, _)) => length,
             Err(e) => {
                 shared.faults.report(FaultKind::PeerSocket, &e);
-                tokio::time::sleep(SOCKET_PAUSE).await;
+                tokio::time::sleep(SOCKET_ERROR_DELAY).await;
                 continue;
             }
         };
--- a/src/gateway/shell/probes.rs
+++ b/src/gateway/shell/probes.rs
@@ -1,9 +1,9 @@
-//! Small questions to endpoints: whether one answers, which of them keeps a prompt, and who has an
-//! address now.
+//! Short requests to endpoints: whether one answers, which of them has a prompt in its cache, and which
+//! endpoint has an address now.
 //!
-//! Each is one request on a rested connection or a new one, within a short limit; no answer is an
-//! answer too, so failures here are reported as such and are no faults. Relies on:
-//! [`super::dialect`] for paths and bodies.
+//! Each is one request on an idle or a new connection, with a short timeout. A missing answer is a
+//! result for the dispatcher and isn't counted as a fault. [`super::dialect`] provides paths and reads
+//! bodies.
 
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -20,23 +20,23 @@
 use crate::http::pool::{Connection, Pool};
 use crate::schema::{EndpointId, EndpointIncarnation};
 
-/// How long a connection may have rested for a probe.
-const PROBE_REST: Duration = Duration::from_secs(4);
+/// Maximum idle time of a connection that is reused.
+const PROBE_CONNECTION_MAX_IDLE: Duration = Duration::from_secs(4);
 
-/// How long an endpoint may take to say what it keeps, or who it is: a caller waits meanwhile.
-const LOCATE_LIMIT: Duration = Duration::from_millis(80);
+/// Timeout for an endpoint to report its cache or its identity; short, since a caller waits.
+const LOCATE_TIMEOUT: Duration = Duration::from_millis(80);
 
-/// Probes an endpoint and reports whether it answered.
+/// Probes an endpoint, and sends to the control thread whether it answered.
 pub async fn probe(
     endpoint: EndpointId,
     address: SocketAddr,
     limit: Duration,
     shared: GatewayShared,
 ) {
-    // An endpoint that answers is there, whatever it says.
+    // Any answer shows that the endpoint is reachable, also one with an error status.
     let path = shared.dialect.load_path();
-    let got = tokio::time::timeout(limit, get(address, path, limit, &shared)).await;
-    let answer = got.ok().flatten();
+    let response = tokio::time::timeout(limit, get(address, path, limit, &shared)).await;
+    let answer = response.ok().flatten();
     let event = Event::Probed {
         endpoint,
         is_answered: answer.is_some(),
@@ -45,8 +45,8 @@
     shared.send(Input::Event(event)).await;
 }
 
-/// Makes a connection to an endpoint and reports whether nothing listens there any more. One that
-/// can't be made in time tells nothing: the link may be cut.
+/// Connects to an endpoint, and sends to the control thread whether the connection is refused, so that
+/// nothing listens there any more. A timeout isn't evidence of that: the network may be interrupted.
 pub async fn check_exited(
     endpoint: EndpointIncarnation,
     address: SocketAddr,
@@ -66,32 +66,33 @@
     shared.send(Input::Event(event)).await;
 }
 
-/// Asks engines which of them keeps a part of a prompt, and reports the first that does.
+/// Queries engines for a part of a prompt, and sends the first that has it in its cache to the control
+/// thread.
 pub async fn locate(
     request: RequestNumber,
     part: String,
     among: Vec<(EndpointId, SocketAddr)>,
     shared: GatewayShared,
 ) {
-    let mut asked = JoinSet::new();
+    let mut requests = JoinSet::new();
     for (endpoint, address) in among {
         let shared = shared.clone();
         let part = part.clone();
-        asked.spawn(async move {
+        requests.spawn(async move {
             let path = shared.dialect.cache_path();
-            let body = get(address, path, LOCATE_LIMIT, &shared).await?;
+            let body = get(address, path, LOCATE_TIMEOUT, &shared).await?;
             shared.dialect.keeps_part(&body?, &part).then_some(endpoint)
         });
     }
-    let finding = async {
-        while let Some(found) = asked.join_next().await {
+    let search = async {
+        while let Some(found) = requests.join_next().await {
             if let Ok(Some(endpoint)) = found {
                 return Some(endpoint);
             }
         }
         None
     };
-    let endpoint = tokio::time::timeout(LOCATE_LIMIT, finding).await;
+    let endpoint = tokio::time::timeout(LOCATE_TIMEOUT, search).await;
     let event = Event::Located {
         request,
         endpoint: endpoint.ok().flatten(),
@@ -99,11 +100,11 @@
     shared.send(Input::Event(event)).await;
 }
 
-/// Asks whoever has an endpoint's address who it is, and an endpoint that tells births for its own:
-/// the same name alone doesn't tell that it has not started again.
+/// Requests the identity of the endpoint at an address, and its start time if it is the expected
+/// endpoint and reports one: the same name alone doesn't show that it hasn't been restarted.
 pub async fn request_identity(spec: EndpointSpec, path: String, shared: GatewayShared) {
-    let asking = async {
-        let mut connection = Pool::connect(spec.address, LOCATE_LIMIT).await.ok()?;
+    let exchange = async {
+        let mut connection = Pool::connect(spec.address, LOCATE_TIMEOUT).await.ok()?;
         shared.metrics.probes.inc();
         let (head, _) = connection.get_with_head(&path).await?;
         let instance = shared.dialect.instance(&head.headers)?;
@@ -116,8 +117,8 @@
         shared.pool.put_back(connection);
         Some((instance, born))
     };
-    let named = tokio::time::timeout(LOCATE_LIMIT, asking).await;
-    if let Some((instance, born)) = named.ok().flatten() {
+    let identity = tokio::time::timeout(LOCATE_TIMEOUT, exchange).await;
+    if let Some((instance, born)) = identity.ok().flatten() {
         let event = Event::IdentityReported {
             endpoint: spec.id,
             instance,
@@ -127,12 +128,13 @@
     }
 }
 
-/// Finds out whether whoever has an address now is a model engine.
+/// Checks whether a model engine is now at an address; sends its start time to the control thread.
 pub async fn identify(spec: EndpointSpec, shared: GatewayShared) {
     let address = spec.address;
     let path = shared.dialect.load_path();
-    let got = tokio::time::timeout(LOCATE_LIMIT, get(address, path, LOCATE_LIMIT, &shared)).await;
-    let Some(body) = got.ok().flatten().flatten() else {
+    let response =
+        tokio::time::timeout(LOCATE_TIMEOUT, get(address, path, LOCATE_TIMEOUT, &shared)).await;
+    let Some(body) = response.ok().flatten().flatten() else {
         return;
     };
     if shared.dialect.is_engine(&body) {
@@ -142,7 +144,7 @@
     }
 }
 
-/// Gets a path of an endpoint: `None` without an answer, `Some(None)` for one without success.
+/// Gets a path of an endpoint: `None` without an answer, `Some(None)` if the status isn't 200.
 async fn get(
     address: SocketAddr,
     path: &'static str,
@@ -150,13 +152,13 @@
     shared: &GatewayShared,
 ) -> Option<Option<Bytes>> {
     shared.metrics.probes.inc();
-    let until = Instant::now() + limit;
-    if let Some(connection) = shared.pool.take(address, PROBE_REST)
+    let deadline = Instant::now() + limit;
+    if let Some(connection) = shared.pool.take(address, PROBE_CONNECTION_MAX_IDLE)
         && let Some(answer) = get_on(connection, path, shared).await
     {
         return Some(answer);
     }
-    let left = until.saturating_duration_since(Instant::now());
+    let left = deadline.saturating_duration_since(Instant::now());
     let connection = Pool::connect(address, left).await.ok()?;
     get_on(connection, path, shared).await
 }
--- a/src/gateway/shell/quarantine.rs
+++ b/src/gateway/shell/quarantine.rs
@@ -1,8 +1,9 @@
-//! The platform's store keeps which requests are quarantined, since a loss of all boxes would forget
-//! it: an object for each, made by the box that came to the verdict.
+//! Stores quarantined requests in the platform's store, so that the loss of all boxes doesn't lose
+//! them. The box that reaches the verdict creates an object for each request.
 //!
-//! They are listed once by a box that begins to watch the store in a fleet that has run before, and
-//! never watched, since boxes tell each other. One that has come of age is removed by who lists it.
+//! A box lists the objects once, when it begins to watch the store in a fleet that has run before. It
+//! doesn't watch them, since boxes publish verdicts to each other. A box that lists an object older
+//! than [`CRASH_RETENTION`] deletes it.
 
 use std::time::Duration;
 
@@ -22,32 +23,32 @@
 use crate::gateway::shell::dialect::{Entry, ObjectKind, UnixMillis};
 use crate::gateway::shell::faults::FaultKind;
 use crate::gateway::shell::input::Input;
-use crate::gateway::shell::store::{self, STORE_CONNECT_LIMIT};
+use crate::gateway::shell::store::{self, STORE_CONNECT_TIMEOUT};
 use crate::http::pool::Pool;
 use crate::schema::{Fingerprint, RequestAge};
 
-/// How long a call may take. Longer than the store takes when it is slow.
-const CALL_LIMIT: Duration = Duration::from_millis(1_500);
-/// Pauses between calls that fail: a verdict is to be kept before the boxes may be lost, but a
-/// store that is out is not to be pressed.
-const CALL_BACKOFF: Backoff = Backoff {
+/// Timeout for a call; longer than a slow store takes.
+const QUARANTINE_CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Delays after failed calls: short enough to store a verdict before the boxes may be lost, and growing
+/// so that a store that is down isn't overloaded.
+const QUARANTINE_CALL_BACKOFF: Backoff = Backoff {
     first: Duration::from_millis(300),
     longest: Duration::from_secs(5),
     most_doublings: 5,
     jitter: 0.5..1.0,
 };
-/// How often a call is made at most: with the pauses above for some two minutes.
-const MOST_CALLS: u32 = 30;
+/// Maximum number of calls for an object: about two minutes with [`QUARANTINE_CALL_BACKOFF`].
+const MAX_QUARANTINE_CALLS: u32 = 30;
 
-/// Reads which requests are quarantined.
+/// Reads the quarantined requests from the store.
 pub async fn read(shared: GatewayShared) {
-    store::list_whole(ObjectKind::Quarantine, &shared).await;
+    store::list_all(ObjectKind::Quarantine, &shared).await;
 }
 
-/// Takes in the objects that were listed.
-pub async fn take_entries(entries: &[Entry], shared: &GatewayShared) {
+/// Sends the requests of listed objects to the control thread, and deletes expired objects.
+pub async fn load_objects(entries: &[Entry], shared: &GatewayShared) {
     let now = wall_millis();
-    let mut kept = Vec::new();
+    let mut requests = Vec::new();
     for entry in entries.iter().filter(|entry| entry.text.is_some()) {
         let (request, since) = match shared.dialect.read_quarantine(entry) {
             Ok(read) => read,
@@ -61,22 +62,24 @@
         let age = Duration::from_millis(now.saturating_sub(since.0));
         if age < CRASH_RETENTION {
             let age_ms = age.as_millis() as u32;
-            kept.push(RequestAge { request, age_ms });
+            requests.push(RequestAge { request, age_ms });
         } else {
             tokio::spawn(write_object(request, false, shared.clone()));
         }
     }
-    shared.send(Input::Event(Event::QuarantineRead(kept))).await;
+    shared
+        .send(Input::Event(Event::QuarantineRead(requests)))
+        .await;
 }
 
-/// Has the store keep that a request is quarantined, or is so no more.
+/// Creates the object of a quarantined request, or deletes it if the request no longer is.
 pub async fn write_object(request: Fingerprint, is_quarantined: bool, shared: GatewayShared) {
     let mut rng = ChaCha8Rng::seed_from_u64(rand::random());
     let since = UnixMillis(wall_millis());
-    for calls in 0..MOST_CALLS {
+    for calls in 0..MAX_QUARANTINE_CALLS {
         let call = call(request, is_quarantined, since, &shared);
-        let answer = tokio::time::timeout(CALL_LIMIT, call).await;
-        // Another box may have made or removed it.
+        let answer = tokio::time::timeout(QUARANTINE_CALL_TIMEOUT, call).await;
+        // Another box may have created or deleted it.
         let is_done = match answer.ok().flatten() {
             Some(status) if status.is_success() => true,
             Some(status) if is_quarantined => status == StatusCode::CONFLICT,
@@ -86,13 +89,13 @@
         if is_done {
             return record(request, is_quarantined, calls + 1, &shared);
         }
-        tokio::time::sleep(CALL_BACKOFF.pause(calls, &mut rng)).await;
+        tokio::time::sleep(QUARANTINE_CALL_BACKOFF.pause(calls, &mut rng)).await;
     }
 }
 
 fn record(request: Fingerprint, is_quarantined: bool, calls: u32, shared: &GatewayShared) {
-    let did = if is_quarantined { "kept" } else { "removed" };
-    let detail = format!("{} {did}, calls: {calls}", request.hex());
+    let action = if is_quarantined { "kept" } else { "removed" };
+    let detail = format!("{} {action}, calls: {calls}", request.hex());
     shared.record(&Record::Process {
         state: "quarantine_store".into(),
         detail,
@@ -119,7 +122,7 @@
     let json = HeaderValue::from_static("application/json");
     call.headers_mut().insert(CONTENT_TYPE, json);
     let address = shared.settings.platform;
-    let mut connection = Pool::connect(address, STORE_CONNECT_LIMIT).await.ok()?;
+    let mut connection = Pool::connect(address, STORE_CONNECT_TIMEOUT).await.ok()?;
     let (head, _) = connection.exchange(call).await?;
     Some(head.status)
 }
--- a/src/gateway/shell/rollouts.rs
+++ b/src/gateway/shell/rollouts.rs
@@ -1,9 +1,8 @@
-//! Objects of the platform's store that order roll-outs: reads them, each alone, and writes their
-//! status.
+//! Roll-out orders in the platform's store: reads their objects, each independently, and writes
+//! their status.
 //!
-//! An object that can't be read orders nothing, and is told once; what was known of its service's
-//! roll-out stays. Whether a write took effect is seen by the object that the watch brings, so its
-//! answer is of no use but to count it.
+//! An object that can't be read has no effect and is logged once; the known order of its service stays.
+//! The watch shows whether a write took effect, so the answer to a write is only recorded.
 
 use std::time::Duration;
 
@@ -18,36 +17,36 @@
 use crate::gateway::shell::GatewayShared;
 use crate::gateway::shell::dialect::Entry;
 use crate::gateway::shell::faults::FaultKind;
-use crate::gateway::shell::store::STORE_CONNECT_LIMIT;
+use crate::gateway::shell::store::STORE_CONNECT_TIMEOUT;
 use crate::gateway::shell::watcher::StoreChange;
 use crate::http::pool::Pool;
 use crate::schema::ServiceId;
 
-/// How long a write may take. Longer than the store takes when it is slow.
-const WRITE_LIMIT: Duration = Duration::from_millis(1_500);
+/// Timeout for writing a status; longer than a slow store takes.
+const STATUS_WRITE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Reads objects that were listed, or that have changed.
+/// Reads objects that were listed or have changed.
 pub fn read_objects(change: StoreChange, shared: &GatewayShared) -> Event {
     let (entries, is_whole) = match change {
         StoreChange::Listed(entries) => (entries, true),
         StoreChange::Changed(entries) => (entries, false),
     };
     let mut objects = Vec::new();
-    let mut gone: Vec<ServiceId> = Vec::new();
-    let mut unreadable = false;
+    let mut removed: Vec<ServiceId> = Vec::new();
+    let mut has_unreadable = false;
     for entry in &entries {
         match (&entry.text, read_object(entry, shared)) {
-            // A name that no service can have ordered nothing.
-            (None, _) => gone.extend(entry.name.parse()),
+            // A name that isn't a valid service id belongs to no known order.
+            (None, _) => removed.extend(entry.name.parse()),
             (Some(_), Some(object)) => objects.push(object),
-            (Some(_), None) => unreadable = true,
+            (Some(_), None) => has_unreadable = true,
         }
     }
     Event::Rollouts {
         objects,
-        removed: gone,
-        // What can't be read may be an order that is known, which goes on.
-        is_whole: is_whole && !unreadable,
+        removed,
+        // An unreadable object may belong to a known order, which must not count as removed.
+        is_whole: is_whole && !has_unreadable,
     }
 }
 
@@ -65,9 +64,9 @@
     }
 }
 
-/// Writes the status of a roll-out's object.
+/// Writes the status of a roll-out order.
 pub async fn write_status(write: StatusWrite, shared: GatewayShared) {
-    let answer = tokio::time::timeout(WRITE_LIMIT, put(&write, &shared)).await;
+    let answer = tokio::time::timeout(STATUS_WRITE_TIMEOUT, put(&write, &shared)).await;
     let outcome = match answer.ok().flatten() {
         Some(StatusCode::OK) => "written",
         Some(StatusCode::CONFLICT) => "another revision",
@@ -89,7 +88,7 @@
     let json = HeaderValue::from_static("application/json");
     request.headers_mut().insert(CONTENT_TYPE, json);
     let address = shared.settings.platform;
-    let mut connection = Pool::connect(address, STORE_CONNECT_LIMIT).await.ok()?;
+    let mut connection = Pool::connect(address, STORE_CONNECT_TIMEOUT).await.ok()?;
     let (head, _) = connection.exchange(request).await?;
     Some(head.status)
 }
--- a/src/gateway/shell/shared.rs
+++ b/src/gateway/shell/shared.rs
@@ -262,7 +262,7 @@
     #[must_use]
     pub fn cache_endpoints(&self, entries: &[Entry], is_whole: bool, at: u64) -> Option<u64> {
         let mut cache = self.write_cache();
-        let has_changed = cache.take(entries, is_whole, at);
+        let has_changed = cache.apply(entries, is_whole, at);
         has_changed.then_some(cache.endpoints_at)
     }
 
--- a/src/gateway/shell/snapshots.rs
+++ b/src/gateway/shell/snapshots.rs
@@ -1,4 +1,4 @@
-//! Asks engines to take snapshots of attempts, and to drop those that are not needed any more.
+//! Requests to engines to take snapshots of attempts, and to drop those that are no longer needed.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,24 +15,27 @@
 use crate::gateway::shell::input::Input;
 use crate::http::pool::Pool;
 
-/// How long a connection may have rested.
-const SNAPSHOT_CONNECTION_REST: Duration = Duration::from_secs(4);
-/// How long an engine may take to drop a snapshot.
-const DROP_LIMIT: Duration = Duration::from_millis(300);
+/// Maximum idle time of a connection that is reused.
+const SNAPSHOT_CONNECTION_MAX_IDLE: Duration = Duration::from_secs(4);
+/// Timeout for dropping a snapshot.
+const DROP_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Has an engine take a snapshot, and reports its name or that there is none.
+/// Requests a snapshot from an engine; sends its name, or that there is none, to the control thread.
 pub async fn take(wanted: SnapshotRequest, shared: GatewayShared) {
-    let asked = tokio::time::timeout(wanted.limit, ask(&wanted, &shared)).await;
+    let answered = tokio::time::timeout(wanted.limit, request_snapshot(&wanted, &shared)).await;
     let event = Event::SnapshotTaken {
         request: wanted.request,
         attempt: wanted.attempt,
         host: wanted.host,
-        name: asked.ok().flatten(),
+        name: answered.ok().flatten(),
     };
     shared.send(Input::Event(event)).await;
 }
 
-async fn ask(wanted: &SnapshotRequest, shared: &GatewayShared) -> Option<SnapshotName> {
+async fn request_snapshot(
+    wanted: &SnapshotRequest,
+    shared: &GatewayShared,
+) -> Option<SnapshotName> {
     let (path, body) = shared.dialect.snapshot_request(&wanted.run, wanted.to);
     let mut request = Request::new(Full::new(Bytes::from(body)));
     *request.method_mut() = Method::POST;
@@ -49,7 +52,7 @@
     }
 }
 
-/// Has an engine drop a snapshot; one that can't be reached forgets it by itself.
+/// Requests an engine to drop a snapshot.
 pub async fn discard(engine: SocketAddr, name: SnapshotName, shared: GatewayShared) {
     let mut request = Request::new(Full::new(Bytes::new()));
     *request.method_mut() = Method::DELETE;
@@ -57,18 +60,22 @@
         return;
     };
     *request.uri_mut() = path;
-    // The engine forgets it after `replica_kept` if this is lost.
-    let _ = tokio::time::timeout(DROP_LIMIT, exchange(engine, request, DROP_LIMIT, &shared)).await;
+    // If the request is lost, the engine drops the snapshot after `replica_kept`.
+    let _ = tokio::time::timeout(
+        DROP_TIMEOUT,
+        exchange(engine, request, DROP_TIMEOUT, &shared),
+    )
+    .await;
 }
 
-/// The body of a successful answer.
+/// Sends a request; returns the body if the answer has status 200.
 async fn exchange(
     address: SocketAddr,
     request: Request<Full<Bytes>>,
     limit: Duration,
     shared: &GatewayShared,
 ) -> Option<Bytes> {
-    let mut connection = match shared.pool.take(address, SNAPSHOT_CONNECTION_REST) {
+    let mut connection = match shared.pool.take(address, SNAPSHOT_CONNECTION_MAX_IDLE) {
         Some(connection) => connection,
         None => Pool::connect(address, limit).await.ok()?,
     };
--- a/src/gateway/shell/store.rs
+++ b/src/gateway/shell/store.rs
@@ -1,10 +1,10 @@
-//! Follows the platform's store: lists and watches configuration and endpoints, keeps what was read
-//! for peers, and hands it to the control thread.
+//! Follows the platform's store: lists and watches the configuration, the endpoints and the orders
+//! of roll-outs, caches what it reads for peers, and sends it to the control thread.
 //!
-//! One task for each kind of objects, each with a connection of its own, and only while this box
-//! watches that kind ([`crate::gateway::dispatch::store_watchers`]). [`super::watcher`] decides
-//! what is asked next, and how long to wait after a failure. Changes gather after some were read,
-//! so that many at once cost few calls.
+//! Each kind of object has a task and a connection of its own. A task calls the store only while
+//! this box watches that kind ([`crate::gateway::dispatch::store_watchers`]). [`super::watcher`]
+//! decides the next request and the delay after a failure. After a change the task waits before the
+//! next request, so that many simultaneous changes cost few calls.
 
 use std::time::{Duration, Instant};
 
@@ -25,70 +25,77 @@
 use crate::gateway::shell::{endpoint_reader, quarantine, rollouts};
 use crate::http::pool::{Connection, Pool};
 
-/// How long configurations gather. Under the bound for a configuration to come into force.
-const GATHER_TABLES: Duration = Duration::from_millis(100);
-/// How long changes of endpoints gather. Under the bound for a leaving endpoint (2 s).
-const GATHER_ENDPOINTS: Duration = Duration::from_millis(400);
-/// How long a list's answer may take to begin at first; longer after each failure. The store
-/// answers in 4 ms when it is well.
-const LIST_LIMIT: Duration = Duration::from_millis(500);
-/// How often that is doubled at the most.
-const MOST_LIST_DOUBLINGS: u32 = 3;
-/// How long a connection may take.
-pub(super) const STORE_CONNECT_LIMIT: Duration = Duration::from_millis(500);
-/// How much longer than asked for a watch's answer may take to begin.
-const WATCH_SLACK: Duration = Duration::from_millis(700);
-/// How long an answer that has begun may stand still. One that goes on is read to its end, since
-/// an object of 1 MB alone takes 0.8 s at 10 Mbit/s, and its size is no sign of a lost connection.
-const BODY_SILENCE: Duration = Duration::from_secs(1);
-/// How long an answer may take in all. A watch's longest time is 30 s.
-const LONGEST_ANSWER: Duration = Duration::from_secs(45);
+/// Delay after a change of the configuration, to batch further ones: less than the time in which a
+/// configuration must be in force.
+const TABLE_BATCH_DELAY: Duration = Duration::from_millis(100);
+/// Delay after a change of endpoints, to batch further ones: less than the time in which a leaving
+/// endpoint must get no more requests (2 s).
+const ENDPOINT_BATCH_DELAY: Duration = Duration::from_millis(400);
+/// Initial timeout for the head of a list's answer; doubled with each failure in a row. A healthy
+/// store answers in 4 ms.
+const LIST_HEAD_TIMEOUT: Duration = Duration::from_millis(500);
+/// Maximum number of doublings of [`LIST_HEAD_TIMEOUT`].
+const MAX_LIST_TIMEOUT_DOUBLINGS: u32 = 3;
+/// Timeout for connecting to the store.
+pub(super) const STORE_CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Time that the head of a watch's answer may take in addition to the requested wait.
+const WATCH_HEAD_SLACK: Duration = Duration::from_millis(700);
+/// Timeout for the next bytes of an answer's body. A body that keeps arriving is read to its end:
+/// one object of 1 MB takes 0.8 s at 10 Mbit/s, so a long transfer doesn't mean a lost connection.
+const BODY_STALL_TIMEOUT: Duration = Duration::from_secs(1);
+/// Timeout for a whole answer: the longest wait of a watch is 30 s.
+const STORE_ANSWER_TIMEOUT: Duration = Duration::from_secs(45);
 
-/// Follows one source for as long as the process runs.
+/// Follows one kind of object until the process exits.
 pub async fn follow(source: ObjectKind, shared: GatewayShared) {
     let mut watcher = Watcher::default();
     let mut rng = ChaCha8Rng::seed_from_u64(rand::random());
-    let mut link = StoreLink::default();
-    let mut was_reached = false;
+    let mut connection = StoreConnection::default();
+    let mut was_reachable = false;
     loop {
         if shared.until_watching(source).await {
-            // Others have read meanwhile; only a list tells where to watch from.
+            // The known revision is outdated after a time without watching; only a list gives a
+            // current one.
             watcher = Watcher::default();
         }
-        let answer = link.ask(source, &watcher.next_request(), &shared).await;
+        let answer = connection
+            .call(source, &watcher.next_request(), &shared)
+            .await;
         let next = watcher.on_answer(answer, &mut rng);
-        if watcher.is_reached() != was_reached {
-            was_reached = watcher.is_reached();
-            record_reached(source, was_reached, &shared);
+        if watcher.is_reachable() != was_reachable {
+            was_reachable = watcher.is_reachable();
+            record_reachability(source, was_reachable, &shared);
         }
-        if watcher.is_reached() && source.shows_store_access() {
+        if watcher.is_reachable() && source.shows_store_access() {
             shared.send(Input::Event(Event::StoreAnswered)).await;
         }
         let mut pause = next.pause;
         if let Some(change) = next.change {
             apply_change(source, change, watcher.revision(), &shared).await;
-            pause = pause.max(gathering(source));
+            pause = pause.max(batch_delay(source));
         }
         tokio::time::sleep(pause).await;
     }
 }
 
-/// How long changes gather after some were read, so that many at once cost few calls.
-fn gathering(source: ObjectKind) -> Duration {
+/// Delay after a change before the next request, so that many simultaneous changes cost few calls.
+fn batch_delay(source: ObjectKind) -> Duration {
     match source {
-        ObjectKind::Table => GATHER_TABLES,
-        ObjectKind::Endpoints => GATHER_ENDPOINTS,
+        ObjectKind::Table => TABLE_BATCH_DELAY,
+        ObjectKind::Endpoints => ENDPOINT_BATCH_DELAY,
         ObjectKind::Rollouts | ObjectKind::Quarantine => Duration::ZERO,
     }
 }
 
-/// Lists all objects of a kind once, with pauses while the store fails.
-pub(super) async fn list_whole(source: ObjectKind, shared: &GatewayShared) {
+/// Lists all objects of a kind once; retries with backoff while the store fails.
+pub(super) async fn list_all(source: ObjectKind, shared: &GatewayShared) {
     let mut watcher = Watcher::default();
     let mut rng = ChaCha8Rng::seed_from_u64(rand::random());
-    let mut link = StoreLink::default();
+    let mut connection = StoreConnection::default();
     loop {
-        let answer = link.ask(source, &watcher.next_request(), shared).await;
+        let answer = connection
+            .call(source, &watcher.next_request(), shared)
+            .await;
         let next = watcher.on_answer(answer, &mut rng);
         if let Some(change) = next.change {
             return apply_change(source, change, watcher.revision(), shared).await;
@@ -97,19 +104,21 @@
     }
 }
 
-/// Reads the table once, on a connection of its own, though this box may not watch the store.
+/// Reads the table once, on a separate connection, also if this box doesn't watch the store.
 pub async fn read_table(shared: GatewayShared) {
     let source = ObjectKind::Table;
     let request = StoreRequest::List { after: None };
-    let answer = StoreLink::default().ask(source, &request, &shared).await;
-    // A failure is seen by the table that doesn't come, and the store is then read again.
+    let answer = StoreConnection::default()
+        .call(source, &request, &shared)
+        .await;
+    // A failure needs no report: the dispatcher reads the store again if no table arrives.
     if let StoreAnswer::Page(page) = answer {
         apply_change(source, StoreChange::Listed(page.entries), page.at, &shared).await;
     }
 }
 
-fn record_reached(source: ObjectKind, is_reached: bool, shared: &GatewayShared) {
-    let state = if is_reached {
+fn record_reachability(source: ObjectKind, is_reachable: bool, shared: &GatewayShared) {
+    let state = if is_reachable {
         "store_reached"
     } else {
         "store_lost"
@@ -133,7 +142,7 @@
     };
     match page {
         Ok(page) => {
-            note_unnamed(source, &page, shared);
+            report_unnamed(source, &page, shared);
             StoreAnswer::Page(page)
         }
         Err(e) => {
@@ -143,8 +152,8 @@
     }
 }
 
-/// Tells of objects that nobody can name; the others of the page hold.
-fn note_unnamed(source: ObjectKind, page: &StorePage, shared: &GatewayShared) {
+/// Reports objects without a readable name; the other objects of the page stay valid.
+fn report_unnamed(source: ObjectKind, page: &StorePage, shared: &GatewayShared) {
     for object in &page.unnamed {
         let detail = format_args!("{source:?}: {object}");
         shared
@@ -153,16 +162,16 @@
     }
 }
 
-/// The connection to the store that one source uses; none is kept after a failure, since an answer
-/// that was lost leaves a connection silent for ever.
+/// The connection to the store for one kind of object. It is closed after a failure, since a
+/// connection whose answer was lost may stay stalled for ever.
 #[derive(Default)]
-struct StoreLink {
+struct StoreConnection {
     connection: Option<Connection>,
     failures: u32,
 }
 
-impl StoreLink {
-    async fn ask(
+impl StoreConnection {
+    async fn call(
         &mut self,
         source: ObjectKind,
         request: &StoreRequest,
@@ -170,25 +179,28 @@
     ) -> StoreAnswer {
         let dialect = &shared.dialect;
         let watch = source.watch_timeout(shared.settings.watch);
-        let patience = doubled(LIST_LIMIT, self.failures, MOST_LIST_DOUBLINGS);
-        let (path, head_limit, is_watch) = match request {
-            StoreRequest::List { after } => {
-                (dialect.list_path(source, after.as_deref()), patience, false)
-            }
+        let list_timeout = doubled(LIST_HEAD_TIMEOUT, self.failures, MAX_LIST_TIMEOUT_DOUBLINGS);
+        let (path, head_timeout, is_watch) = match request {
+            StoreRequest::List { after } => (
+                dialect.list_path(source, after.as_deref()),
+                list_timeout,
+                false,
+            ),
             StoreRequest::Watch { at } => (
                 dialect.watch_path(source, *at, watch),
-                watch + WATCH_SLACK,
+                watch + WATCH_HEAD_SLACK,
                 true,
             ),
         };
         shared.metrics.store_calls_of(request).inc();
         let began = Instant::now();
-        let got = tokio::time::timeout(LONGEST_ANSWER, self.get(&path, head_limit, shared)).await;
+        let answered =
+            tokio::time::timeout(STORE_ANSWER_TIMEOUT, self.get(&path, head_timeout, shared)).await;
         if !is_watch {
             let took = began.elapsed().as_secs_f64();
             shared.metrics.store_seconds.observe(took);
         }
-        let answer = match got.ok().flatten() {
+        let answer = match answered.ok().flatten() {
             Some((StatusCode::GONE, _)) => StoreAnswer::HistoryLost,
             Some((StatusCode::OK, body)) => read_page(source, is_watch, &body, shared),
             None | Some(_) => StoreAnswer::Failed,
@@ -202,26 +214,27 @@
         answer
     }
 
-    /// Makes one call; the connection is kept only if the answer came whole.
+    /// Makes one call; keeps the connection only if the answer was complete.
     async fn get(
         &mut self,
         path: &str,
-        head_limit: Duration,
+        head_timeout: Duration,
         shared: &GatewayShared,
     ) -> Option<(StatusCode, Bytes)> {
         let address = shared.settings.platform;
         let mut connection = match self.connection.take() {
             Some(kept) => kept,
-            None => Pool::connect(address, STORE_CONNECT_LIMIT).await.ok()?,
+            None => Pool::connect(address, STORE_CONNECT_TIMEOUT).await.ok()?,
         };
-        let got = connection.get_while_it_comes(path, head_limit, BODY_SILENCE);
-        let (status, body) = got.await?;
+        let answered = connection.get_while_it_comes(path, head_timeout, BODY_STALL_TIMEOUT);
+        let (status, body) = answered.await?;
         self.connection = Some(connection);
         Some((status, body))
     }
 }
 
-/// Keeps what was read at a revision of the store for peers, and hands it to the control thread.
+/// Applies objects that were read at a revision of the store: caches the table and the endpoints for
+/// peers, and sends every kind to the control thread.
 pub async fn apply_change(
     source: ObjectKind,
     change: StoreChange,
@@ -235,18 +248,18 @@
                     from: "store".to_owned(),
                     read_at: Instant::now(),
                 };
-                table_reader::take_table(TableText::Plain(entry), source, shared).await;
+                table_reader::load_table(TableText::Plain(entry), source, shared).await;
             }
         }
         (ObjectKind::Quarantine, StoreChange::Listed(entries) | StoreChange::Changed(entries)) => {
-            quarantine::take_entries(&entries, shared).await;
+            quarantine::load_objects(&entries, shared).await;
         }
         (ObjectKind::Rollouts, change) => {
             let event = rollouts::read_objects(change, shared);
             shared.send(Input::Event(event)).await;
         }
         (ObjectKind::Endpoints, change) => {
-            if let Some(event) = endpoint_reader::take_endpoints(change, at, shared) {
+            if let Some(event) = endpoint_reader::load_endpoints(change, at, shared) {
                 shared.send(Input::Event(event)).await;
             }
         }
--- a/src/gateway/shell/store_cache.rs
+++ b/src/gateway/shell/store_cache.rs
@@ -1,9 +1,9 @@
-//! What was read from the platform's store, as it was read, for peers that ask.
+//! Cache of the unparsed objects that were read from the platform's store, for requests of peers.
 //!
-//! Owns: the last table, packed; the list of endpoints, and which of them changed at which
-//! revision. A peer that is behind by no more than [`CHANGES_KEPT`] changes gets those, another one
-//! the whole list, packed: 326 endpoints are some 90 KB of text, and at 20 Mbit/s it took 0.28 s
-//! until the median box of 59 had them all from the two that read the store.
+//! State: the last table, packed; the list of endpoints, and the revision of each recent change. A
+//! peer that misses at most [`MAX_CACHED_CHANGES`] changes gets those, any other peer the full list.
+//! Both are packed: 326 endpoints are about 90 KB of text, which at 20 Mbit/s took 0.28 s to reach
+//! the median of 59 boxes from the two that read the store.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::io::{Error, Result};
@@ -15,62 +15,61 @@
 use crate::gateway::shell::packed::PackedText;
 use crate::schema::{PackedEntries, StateEntry};
 
-/// A configuration that was read.
+/// The text of the last configuration.
 #[derive(Clone, Debug)]
 pub struct CachedTable {
-    /// Its version.
+    /// Version of the configuration.
     pub version: TableVersion,
-    /// Its text.
+    /// The configuration as the platform's store holds it, packed.
     pub text: PackedText,
-    /// When the store answered the box that read it, by this box's clock.
+    /// Time at which the store answered the box that read it, by this box's clock.
     pub read_at: Instant,
 }
 
 impl CachedTable {
-    /// How long ago the store answered the box that read it.
+    /// Time since the store answered the box that read it.
     #[must_use]
     pub fn age(&self) -> Duration {
         self.read_at.elapsed()
     }
 }
 
-/// What was read from the platform, as it was read.
+/// Unparsed objects of the platform's store.
 #[derive(Debug, Default)]
 pub(super) struct StoreCache {
     pub(super) table: Option<CachedTable>,
     endpoints: BTreeMap<String, String>,
-    /// The revision at which the list of endpoints changed last.
+    /// Revision at which the list of endpoints last changed.
     pub(super) endpoints_at: u64,
-    /// What has changed, the newest last.
+    /// Revision and name of each change, the newest last.
     changes: VecDeque<(u64, String)>,
-    /// The revision after which all changes are kept.
+    /// Revision after which `changes` is complete.
     changes_after: u64,
-    /// The whole list at a revision, packed.
-    whole: Mutex<Option<(u64, PackedEntries)>>,
+    /// The full list at a revision, packed.
+    full_list: Mutex<Option<(u64, PackedEntries)>>,
 }
 
-/// How many changes of the list of endpoints are kept for peers.
-const CHANGES_KEPT: usize = 2_048;
+/// Maximum number of changes of the list of endpoints that are cached for peers.
+const MAX_CACHED_CHANGES: usize = 2_048;
 
 impl StoreCache {
-    /// Takes entries in; returns whether any of them has changed. A page from before the revision
-    /// that is known tells nothing new, though it came late: it would bring back what has changed
-    /// since.
-    pub(super) fn take(&mut self, entries: &[Entry], is_whole: bool, at: u64) -> bool {
+    /// Applies entries; returns whether any of them has changed. Ignores entries of a revision older
+    /// than the known one, which may arrive late: they would undo newer changes.
+    pub(super) fn apply(&mut self, entries: &[Entry], is_whole: bool, at: u64) -> bool {
         if at < self.endpoints_at {
             return false;
         }
         let changed = self.changed(entries, at);
-        let gone = if is_whole {
+        let removed = if is_whole {
             self.missing_from(entries)
         } else {
             Vec::new()
         };
         let is_first = self.endpoints_at == 0;
-        if changed.is_empty() && gone.is_empty() && !is_first {
+        if changed.is_empty() && removed.is_empty() && !is_first {
             return false;
         }
-        let names = changed.into_iter().chain(gone.clone());
+        let names = changed.into_iter().chain(removed.clone());
         self.changes.extend(names.map(|name| (at, name)));
         for entry in entries {
             match &entry.text {
@@ -78,12 +77,12 @@
                 None => self.endpoints.remove(&entry.name),
             };
         }
-        self.endpoints.retain(|name, _| !gone.contains(name));
+        self.endpoints.retain(|name, _| !removed.contains(name));
         self.endpoints_at = self.endpoints_at.max(at);
         if is_first {
             self.changes_after = at;
         }
-        while self.changes.len() > CHANGES_KEPT {
+        while self.changes.len() > MAX_CACHED_CHANGES {
             if let Some((at, _)) = self.changes.pop_front() {
                 self.changes_after = at;
             }
@@ -91,20 +90,21 @@
         true
     }
 
-    /// The entries that tell something new.
+    /// Names of the entries that differ from the cached ones.
     fn changed(&self, entries: &[Entry], at: u64) -> Vec<String> {
-        let is_news = at > self.endpoints_at;
+        let is_newer = at > self.endpoints_at;
         let changed = entries.iter().filter(|entry| {
-            // An endpoint that came and went between two reads is known to some boxes by its own
-            // word, so its going is passed on though it was never listed here. Without that one sent
-            // a request 3.9 s after it had said that it leaves (docs/FINDINGS.md).
-            let is_going = is_news && entry.text.is_none();
-            is_going || self.endpoints.get(&entry.name) != entry.text.as_ref()
+            // Some boxes know an endpoint from its own reports although it was added and removed
+            // between two reads of the store, so its removal is passed on even if it was never
+            // listed here. Otherwise a box sent a request to such an endpoint 3.9 s after it had
+            // announced that it was leaving.
+            let is_removal = is_newer && entry.text.is_none();
+            is_removal || self.endpoints.get(&entry.name) != entry.text.as_ref()
         });
         changed.map(|entry| entry.name.clone()).collect()
     }
 
-    /// What is known and doesn't stand in a whole list.
+    /// Cached names that a full list doesn't contain.
     fn missing_from(&self, entries: &[Entry]) -> Vec<String> {
         let listed: BTreeSet<&String> = entries.iter().map(|entry| &entry.name).collect();
         let known = self.endpoints.keys();
@@ -114,17 +114,18 @@
             .collect()
     }
 
-    /// What has changed after a revision, or all there is, packed; and which of the two.
+    /// The changes after a revision or, if they are no longer cached, the full list; packed. The flag
+    /// says whether it is the full list.
     ///
     /// # Errors
     ///
-    /// If it is too long.
+    /// If the text exceeds the limit of [`PackedText`].
     pub(super) fn packed_since(&self, after: u64) -> Result<(PackedEntries, bool)> {
         if after >= self.endpoints_at {
             return Ok((pack(&[])?, false));
         }
         if after < self.changes_after {
-            return Ok((self.packed_whole()?, true));
+            return Ok((self.packed_list()?, true));
         }
         let newer = self.changes.iter().filter(|(at, _)| *at > after);
         let names: BTreeSet<&String> = newer.map(|(_, name)| name).collect();
@@ -135,10 +136,10 @@
         Ok((pack(&changed.collect::<Vec<_>>())?, false))
     }
 
-    /// The whole list, packed once for all that ask before it changes.
-    fn packed_whole(&self) -> Result<PackedEntries> {
+    /// The full list, packed once per revision.
+    fn packed_list(&self) -> Result<PackedEntries> {
         let mut kept = self
-            .whole
+            .full_list
             .lock()
             .unwrap_or_else(std::sync::PoisonError::into_inner);
         if let Some((at, packed)) = &*kept
@@ -165,11 +166,11 @@
     })
 }
 
-/// Reads entries that a peer packed.
+/// Unpacks the entries of a peer's reply.
 ///
 /// # Errors
 ///
-/// If they are no packed entries.
+/// If they aren't valid packed entries.
 pub fn unpack(packed: PackedEntries) -> Result<Vec<StateEntry>> {
     let text = PackedText {
         text_bytes: packed.text_bytes,
--- a/src/gateway/shell/table_reader.rs
+++ b/src/gateway/shell/table_reader.rs
@@ -1,8 +1,8 @@
-//! Reads a configuration wherever it came from, keeps it for peers, and hands it on.
+//! Reads a configuration from the store or from a peer, caches it for peers, and sends it to the
+//! control thread.
 //!
-//! Unpacking, checking and packing take processor time that grows with the configuration (73 ms for
-//! 0.8 MB on 0.12 of a core, docs/incidents/late-table.md), so a thread that moves no bytes of
-//! callers does it.
+//! The processor time for unpacking, checking and packing grows with the configuration (73 ms for
+//! 0.8 MB on 0.12 of a core), so a blocking thread does it and not a traffic thread.
 
 use std::time::Instant;
 
@@ -18,23 +18,23 @@
 /// The text of a configuration.
 #[derive(Clone, Debug)]
 pub enum TableText {
-    /// As the store gave it.
+    /// As read from the store.
     Plain(Entry),
-    /// As a peer passed it on.
+    /// As received from a peer.
     Packed(PackedText),
 }
 
-/// Where a configuration was read.
+/// Origin of a configuration.
 #[derive(Clone, Debug)]
 pub struct TableSource {
     /// `store`, or the address of a peer.
     pub from: String,
-    /// When the store answered the box that read it.
+    /// Time at which the store answered the box that read it, by this box's clock.
     pub read_at: Instant,
 }
 
-/// Takes a configuration in.
-pub async fn take_table(text: TableText, source: TableSource, shared: &GatewayShared) {
+/// Checks a configuration; caches it and sends it to the control thread if it is newer.
+pub async fn load_table(text: TableText, source: TableSource, shared: &GatewayShared) {
     let began = Instant::now();
     let dialect = shared.dialect.clone();
     let reading = tokio::task::spawn_blocking(move || read(text, dialect.as_ref()));
@@ -73,11 +73,11 @@
     }
 }
 
-/// A table, and its text as peers get it.
-type Checked = (RoutingTable, PackedText);
+/// A table, and its text as it is sent to peers.
+type CheckedTable = (RoutingTable, PackedText);
 
-/// Reads and checks a text; `None` where it is no configuration.
-fn read(text: TableText, dialect: &dyn Dialect) -> Option<Result<Checked, TableError>> {
+/// Reads and checks a text; `None` if it isn't a configuration.
+fn read(text: TableText, dialect: &dyn Dialect) -> Option<Result<CheckedTable, TableError>> {
     match text {
         TableText::Plain(entry) => {
             let text = entry.text.as_deref()?;
@@ -104,6 +104,6 @@
 
 fn error(e: &dyn std::fmt::Display) -> TableError {
     TableError {
-        message: format!("the configuration can't be read: {e}; write it anew"),
+        message: format!("the configuration can't be read: {e}; write a valid one"),
     }
 }
--- a/src/gateway/shell/transfer.rs
+++ b/src/gateway/shell/transfer.rs
@@ -1,9 +1,9 @@
-//! What was read from the platform, passed on between boxes by TCP.
+//! Transfer of the configuration and the endpoints between boxes by TCP.
 //!
-//! [`crate::gateway::dispatch::fetches`] decides who is asked ([`fetch`]); each box answers others
-//! ([`accept`]), a few at a time, and tells the rest at once that it is busy. Messages are postcard
-//! of the types in `schema/gateway.schema.json` after their length. A fetch that fails is counted as
-//! a fault, and somebody else is asked.
+//! [`crate::gateway::dispatch::fetches`] decides from which peer a box fetches ([`fetch`]). Each box
+//! answers requests of others ([`accept`]), up to a limit of data in flight, and declines further
+//! ones at once as busy. A message is its length and a type of `schema/gateway.schema.json` in postcard.
+//! A failed fetch is counted as a fault, and another peer is tried.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -23,36 +23,36 @@
 use crate::gateway::shell::faults::FaultKind;
 use crate::gateway::shell::input::Input;
 use crate::gateway::shell::packed::PackedText;
-use crate::gateway::shell::peers::SOCKET_PAUSE;
+use crate::gateway::shell::peers::SOCKET_ERROR_DELAY;
 use crate::gateway::shell::table_reader::{self, TableSource, TableText};
 use crate::gateway::shell::watcher::StoreChange;
 use crate::gateway::shell::{GatewayShared, store, store_cache};
 use crate::schema::{PackedEntries, StateReply, StateRequest};
 
-/// The longest message by TCP.
-const LONGEST_MESSAGE: u32 = 16 << 20;
-/// How long a connection to another box may take.
-const FETCH_CONNECT_LIMIT: Duration = Duration::from_millis(300);
-/// How long a transfer may stand still. A transfer that goes on is never given up for its size or
-/// for the number of those that share the link: a limit of 800 ms over the whole of it let 365 of
-/// 771 fetches fail with a half of the bytes, to begin anew (docs/incidents/late-table.md).
-const SILENCE: Duration = Duration::from_secs(1);
-/// How long a transfer may take though it goes on. Chosen: what 10 Mbit/s carry in it is twelve
-/// times what the users' store holds in one object.
-const LONGEST_TRANSFER: Duration = Duration::from_secs(10);
-/// How many kilobytes of a kind are on their way to peers at once; who asks for more is turned away
-/// and asks somebody else. The fewer, the sooner the first of them can pass it on; a larger answer
-/// goes alone. Time until the last of 87 boxes on 10 Mbit/s has 2,800 routes, four seeds each of
+/// Maximum length of a message by TCP, in bytes.
+const MAX_MESSAGE_BYTES: u32 = 16 << 20;
+/// Timeout for connecting to another box.
+const FETCH_CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+/// Timeout for the next bytes of a transfer. Its size and the number of transfers that share the
+/// link don't count: with a limit of 800 ms for a whole transfer, 365 of 771 fetches failed with half
+/// of the bytes received, and started over.
+const STALL_TIMEOUT: Duration = Duration::from_secs(1);
+/// Timeout for a whole transfer that keeps making progress: at 10 Mbit/s enough for twelve times the
+/// size limit of an object in the users' store.
+const TRANSFER_TIMEOUT: Duration = Duration::from_secs(10);
+/// Maximum number of kilobytes of one kind in flight to peers; further requests are declined, and the
+/// peers try other boxes. With fewer, the first peer can pass the data on sooner. A larger reply is
+/// sent alone. Time until the last of 87 boxes on 10 Mbit/s has 2,800 routes, four seeds each of
 /// `magpiemoor-lab spread`: 128 KB 0.97 to 1.05 s, 256 KB 0.69 to 0.87 s, 512 KB 0.85 to 0.98 s.
-const KILOBYTES_ON_THE_WAY: u32 = 256;
-/// Bytes that are written at a time, within [`SILENCE`].
-const WRITE_STEP: usize = 16 << 10;
+const MAX_KILOBYTES_IN_FLIGHT: u32 = 256;
+/// Number of bytes that are written at a time; [`STALL_TIMEOUT`] applies to each write.
+const WRITE_CHUNK_BYTES: usize = 16 << 10;
 
-/// Asks another box for what it read from the platform.
+/// Fetches the table or the endpoints from another box.
 pub async fn fetch(from: SocketAddr, kind: FetchKind, wanted: StateRequest, shared: GatewayShared) {
     let began = Instant::now();
     let received = AtomicU64::new(0);
-    let asked = within(LONGEST_TRANSFER, ask(from, &wanted, &received)).await;
+    let replied = with_timeout(TRANSFER_TIMEOUT, request_state(from, &wanted, &received)).await;
     let bytes = received.into_inner();
     shared.metrics.peer_bytes_of(kind).inc_by(bytes);
     if kind == FetchKind::Table {
@@ -61,17 +61,17 @@
             after: wanted.table_after,
             bytes,
             after_ms: began.elapsed().as_millis() as u64,
-            outcome: match &asked {
+            outcome: match &replied {
                 Ok(reply) if reply.is_busy => FETCH_BUSY.into(),
                 Ok(_) => FETCHED_WHOLE.into(),
                 Err(e) => e.to_string().into(),
             },
         });
     }
-    let outcome = match asked {
+    let outcome = match replied {
         Ok(reply) if reply.is_busy => FetchOutcome::Busy,
         Ok(reply) => {
-            take_in(reply, from, &wanted, began, &shared).await;
+            apply_reply(reply, from, &wanted, began, &shared).await;
             FetchOutcome::Complete
         }
         Err(e) => {
@@ -88,25 +88,25 @@
     shared.send(Input::Event(ended)).await;
 }
 
-/// Takes in what a peer sent that was asked at `asked`.
-async fn take_in(
+/// Applies the reply to a request that was sent at `requested_at`.
+async fn apply_reply(
     reply: StateReply,
     from: SocketAddr,
     wanted: &StateRequest,
-    asked: Instant,
+    requested_at: Instant,
     shared: &GatewayShared,
 ) {
     if let Some(table) = reply.table {
         let source = TableSource {
             from: from.to_string(),
-            // The way here counts as age, since clocks of boxes differ.
-            read_at: earlier(asked, Duration::from_millis(table.age_ms.into())),
+            // The transfer counts as age, since clocks of boxes differ.
+            read_at: time_before(requested_at, Duration::from_millis(table.age_ms.into())),
         };
         let text = PackedText {
             text_bytes: table.text_bytes,
             bytes: table.packed.into(),
         };
-        table_reader::take_table(TableText::Packed(text), source, shared).await;
+        table_reader::load_table(TableText::Packed(text), source, shared).await;
     }
     if reply.endpoints_at > wanted.endpoints_after {
         let entries = match store_cache::unpack(reply.endpoints) {
@@ -130,78 +130,84 @@
     }
 }
 
-/// A point that lies `age` before another one, or that one where the clock doesn't reach so far.
-fn earlier(at: Instant, age: Duration) -> Instant {
+/// The time `age` before `at`, or `at` itself if the clock can't represent it.
+fn time_before(at: Instant, age: Duration) -> Instant {
     at.checked_sub(age).unwrap_or(at)
 }
 
-/// Asks another box; counts the bytes that arrive in `received`, also if it fails or is given up.
-async fn ask(
+/// Sends a request to another box and reads the reply; counts the received bytes in `received`, also
+/// if the request fails or is cancelled.
+async fn request_state(
     from: SocketAddr,
     wanted: &StateRequest,
     received: &AtomicU64,
 ) -> std::io::Result<StateReply> {
-    let mut socket = within(FETCH_CONNECT_LIMIT, TcpStream::connect(from)).await?;
+    let mut socket = with_timeout(FETCH_CONNECT_TIMEOUT, TcpStream::connect(from)).await?;
     write(&mut socket, &encode(wanted)?).await?;
     read(&mut socket, received).await
 }
 
-/// Answers other boxes, for as long as the process runs.
+/// Answers requests of other boxes until the process exits.
 pub async fn accept(listener: TcpListener, shared: GatewayShared) {
-    let room = Arc::new(Room::default());
+    let budget = Arc::new(SendBudget::default());
     loop {
         let socket = match listener.accept().await {
             Ok((socket, _)) => socket,
             Err(e) => {
                 shared.faults.report(FaultKind::PeerSocket, &e);
-                tokio::time::sleep(SOCKET_PAUSE).await;
+                tokio::time::sleep(SOCKET_ERROR_DELAY).await;
                 continue;
             }
         };
         let shared = shared.clone();
-        let room = Arc::clone(&room);
+        let budget = Arc::clone(&budget);
         tokio::spawn(async move {
-            // The asker asks again, or somebody else, if this fails.
-            let _ = within(LONGEST_TRANSFER, answer(socket, &room, shared)).await;
+            // If this fails, the requester tries again or tries another box.
+            let _ = with_timeout(TRANSFER_TIMEOUT, answer(socket, &budget, shared)).await;
         });
     }
 }
 
-/// Kilobytes that may still be sent to peers, apart for each kind, so that no table waits for
-/// lists.
-struct Room {
+/// Kilobytes that may still be sent to peers, separate for each kind so that lists of endpoints don't
+/// delay tables.
+struct SendBudget {
     tables: Semaphore,
     lists: Semaphore,
 }
 
-impl Default for Room {
+impl Default for SendBudget {
     fn default() -> Self {
         Self {
-            tables: Semaphore::new(KILOBYTES_ON_THE_WAY as usize),
-            lists: Semaphore::new(KILOBYTES_ON_THE_WAY as usize),
+            tables: Semaphore::new(MAX_KILOBYTES_IN_FLIGHT as usize),
+            lists: Semaphore::new(MAX_KILOBYTES_IN_FLIGHT as usize),
         }
     }
 }
 
-async fn answer(mut socket: TcpStream, room: &Room, shared: GatewayShared) -> std::io::Result<()> {
+async fn answer(
+    mut socket: TcpStream,
+    budget: &SendBudget,
+    shared: GatewayShared,
+) -> std::io::Result<()> {
     let wanted: StateRequest = read(&mut socket, &AtomicU64::new(0)).await?;
-    let of_kind = if wanted.endpoints_after == u64::MAX {
-        &room.tables
+    let kind_budget = if wanted.endpoints_after == u64::MAX {
+        &budget.tables
     } else {
-        &room.lists
+        &budget.lists
     };
     let reply = encode(&shared.state_for(&wanted)?)?;
     let kilobytes = u32::try_from(reply.len() >> 10).unwrap_or(u32::MAX);
-    let Ok(_room) = of_kind.try_acquire_many(kilobytes.min(KILOBYTES_ON_THE_WAY)) else {
-        return write(&mut socket, &encode(&busy())?).await;
+    let Ok(_permit) = kind_budget.try_acquire_many(kilobytes.min(MAX_KILOBYTES_IN_FLIGHT)) else {
+        return write(&mut socket, &encode(&busy_reply())?).await;
     };
     write(&mut socket, &reply).await?;
-    // The room is free once the asker has it all and closes, not when it lies in buffers here.
-    let _ = within(SILENCE, socket.read_u8()).await;
+    // The budget is released when the requester has received everything and closes the connection,
+    // and not already when the reply is in this box's socket buffers.
+    let _ = with_timeout(STALL_TIMEOUT, socket.read_u8()).await;
     Ok(())
 }
 
-fn busy() -> StateReply {
+fn busy_reply() -> StateReply {
     StateReply {
         is_busy: true,
         table: None,
@@ -214,14 +220,14 @@
     }
 }
 
-/// Waits for an exchange at the most so long.
-async fn within<T>(
+/// Runs an exchange with a time limit.
+async fn with_timeout<T>(
     limit: Duration,
     exchange: impl Future<Output = std::io::Result<T>>,
 ) -> std::io::Result<T> {
     tokio::time::timeout(limit, exchange)
         .await
-        .unwrap_or_else(|_| Err(std::io::Error::other(format!("nothing within {limit:?}"))))
+        .unwrap_or_else(|_| Err(std::io::Error::other(format!("timed out after {limit:?}"))))
 }
 
 fn encode(message: &impl Serialize) -> std::io::Result<Vec<u8>> {
@@ -230,9 +236,9 @@
 
 async fn write(socket: &mut TcpStream, message: &[u8]) -> std::io::Result<()> {
     let length = u32::try_from(message.len()).map_err(std::io::Error::other)?;
-    within(SILENCE, socket.write_u32_le(length)).await?;
-    for step in message.chunks(WRITE_STEP) {
-        within(SILENCE, socket.write_all(step)).await?;
+    with_timeout(STALL_TIMEOUT, socket.write_u32_le(length)).await?;
+    for chunk in message.chunks(WRITE_CHUNK_BYTES) {
+        with_timeout(STALL_TIMEOUT, socket.write_all(chunk)).await?;
     }
     Ok(())
 }
@@ -241,14 +247,17 @@
     socket: &mut TcpStream,
     received: &AtomicU64,
 ) -> std::io::Result<T> {
-    let length = within(SILENCE, socket.read_u32_le()).await?;
-    if length > LONGEST_MESSAGE {
-        return Err(std::io::ErrorKind::InvalidData.into());
+    let length = with_timeout(STALL_TIMEOUT, socket.read_u32_le()).await?;
+    if length > MAX_MESSAGE_BYTES {
+        return Err(std::io::Error::new(
+            std::io::ErrorKind::InvalidData,
+            format!("a message of {length} bytes; at most {MAX_MESSAGE_BYTES} are read"),
+        ));
     }
     let mut bytes = Vec::new();
     let mut socket = socket.take(length.into());
     loop {
-        match within(SILENCE, socket.read_buf(&mut bytes)).await? {
+        match with_timeout(STALL_TIMEOUT, socket.read_buf(&mut bytes)).await? {
             0 => break,
             more => received.fetch_add(more as u64, Ordering::Relaxed),
         };
--- a/src/gateway/shell/watcher.rs
+++ b/src/gateway/shell/watcher.rs
@@ -1,15 +1,16 @@
-//! What to ask the platform's store next about one kind of objects, and how long to wait first.
+//! State machine that decides the next request to the platform's store for one kind of object, and
+//! the delay before it.
 //!
-//! | state | next request | leaves it by |
+//! | state | next request | transition |
 //! |---|---|---|
-//! | nothing known | list from the start | a page: listing, or listed if it was the last one |
+//! | nothing known | list from the start | a page: listing, or watching if it is the last page |
 //! | listing | list after the last name | the last page: watching from the revision of the first page |
-//! | watching at a revision | watch from it | changes or none in time: watching at the revision that was answered |
+//! | watching at a revision | watch from it | changes, or none in time: watching at the answer's revision |
 //!
-//! A failure, or a history that the store has forgotten, leads back to the first state after a
-//! pause with backoff, so that no answer of the store can make a box ask without end. A watch that
-//! was cut is followed by a list too: the changes may be gone meanwhile, and a watch from the old
-//! revision waited 3 s in vain (lundavik scale-2, docs/FINDINGS.md).
+//! A failure, or a revision older than the store's history, leads back to the first state after a
+//! delay with backoff, so that no answer of the store makes a box send requests in a tight loop. An
+//! interrupted watch is followed by a list too: the store may have dropped the changes meanwhile,
+//! and a new watch from the old revision waited 3 s in vain.
 
 use std::time::Duration;
 
@@ -18,8 +19,8 @@
 use crate::backoff::Backoff;
 use crate::gateway::shell::dialect::{Entry, StorePage};
 
-/// Pauses after failures. Without them a 404 was asked again at once: 65,493 calls in 34 s on the
-/// first design's trial (docs/FINDINGS.md).
+/// Delays after failures. Without them a request answered with 404 was repeated at once: 65,493 calls
+/// in 34 s.
 const STORE_BACKOFF: Backoff = Backoff {
     first: Duration::from_millis(50),
     longest: Duration::from_millis(800),
@@ -27,17 +28,17 @@
     jitter: 0.5..1.0,
 };
 
-/// What to ask next.
+/// A request to the store.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum StoreRequest {
-    /// List the objects after a name.
+    /// Lists the objects after a name.
     List {
-        /// The last name that is known.
+        /// The last name of the pages so far; `None` lists from the start.
         after: Option<String>,
     },
-    /// Wait for changes after a revision.
+    /// Waits for changes after a revision.
     Watch {
-        /// The revision.
+        /// The last revision that was read.
         at: u64,
     },
 }
@@ -45,33 +46,33 @@
 /// The store's answer to a request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum StoreAnswer {
-    /// What was asked for.
+    /// A page of a list, or the changes of a watch.
     Page(StorePage),
-    /// The changes since that revision are no longer known.
+    /// The store no longer has the changes since that revision.
     HistoryLost,
-    /// Anything else.
+    /// No answer, or an error.
     Failed,
 }
 
-/// What has changed in the store.
+/// A change of the store's objects of one kind.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum StoreChange {
-    /// All objects.
+    /// All objects that exist; those not listed are removed.
     Listed(Vec<Entry>),
-    /// Changes.
+    /// The objects that were changed or removed.
     Changed(Vec<Entry>),
 }
 
-/// What follows from an answer.
+/// The result of an answer.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct NextStep {
-    /// What has changed, if anything has.
+    /// The change, if there is any.
     pub change: Option<StoreChange>,
-    /// How long to wait before the next request.
+    /// Delay before the next request.
     pub pause: Duration,
 }
 
-/// Follows one kind of objects.
+/// The state of following one kind of object.
 #[derive(Debug, Default)]
 pub struct Watcher {
     at: Option<u64>,
@@ -81,7 +82,7 @@
 }
 
 impl Watcher {
-    /// What to ask now.
+    /// The request to send now.
     #[must_use]
     pub fn next_request(&self) -> StoreRequest {
         match self.at {
@@ -92,25 +93,25 @@
         }
     }
 
-    /// The store's revision that was read last, or 0.
+    /// The last revision that was read, or 0 before the first complete list.
     #[must_use]
     pub fn revision(&self) -> u64 {
         self.at.unwrap_or_default()
     }
 
-    /// Whether the last answer was what was asked for.
+    /// Whether the last request succeeded; true before the first one.
     #[must_use]
-    pub fn is_reached(&self) -> bool {
+    pub fn is_reachable(&self) -> bool {
         self.failures == 0
     }
 
-    /// Takes in the answer to a step.
+    /// Applies the answer to the last request.
     pub fn on_answer(&mut self, answer: StoreAnswer, rng: &mut impl Rng) -> NextStep {
         match answer {
-            // Without a name there is nothing to list the next objects after.
-            StoreAnswer::Page(page) if self.is_stuck(&page) => {
+            // The next page can only be requested after a name.
+            StoreAnswer::Page(page) if self.cannot_continue(&page) => {
                 self.restart();
-                self.failed(rng)
+                self.back_off(rng)
             }
             StoreAnswer::Page(page) => {
                 self.failures = 0;
@@ -119,11 +120,11 @@
                     pause: Duration::ZERO,
                 }
             }
-            // A watch that was cut may have missed changes that the store no longer knows, and a
-            // new one from the same revision may then wait in vain: only a list tells for sure.
+            // An interrupted watch may have missed changes that the store has dropped since, and a
+            // new watch from the same revision would then wait in vain; a list is reliable.
             StoreAnswer::HistoryLost | StoreAnswer::Failed => {
                 self.restart();
-                self.failed(rng)
+                self.back_off(rng)
             }
         }
     }
@@ -133,7 +134,7 @@
             self.at = Some(page.at);
             return (!page.entries.is_empty()).then_some(StoreChange::Changed(page.entries));
         }
-        // Changes that are made while later parts are read come again with the watch.
+        // The watch from the first page's revision repeats changes made while later pages are read.
         self.list_at.get_or_insert(page.at);
         let is_empty = page.entries.is_empty();
         self.listed.extend(page.entries);
@@ -144,8 +145,8 @@
         Some(StoreChange::Listed(std::mem::take(&mut self.listed)))
     }
 
-    /// Whether a list goes on after a page of which no object has a name.
-    fn is_stuck(&self, page: &StorePage) -> bool {
+    /// Whether the list has more pages, but no object of this one has a readable name.
+    fn cannot_continue(&self, page: &StorePage) -> bool {
         self.at.is_none() && page.more && page.entries.is_empty() && !page.unnamed.is_empty()
     }
 
@@ -155,7 +156,7 @@
         self.listed.clear();
     }
 
-    fn failed(&mut self, rng: &mut impl Rng) -> NextStep {
+    fn back_off(&mut self, rng: &mut impl Rng) -> NextStep {
         let pause = STORE_BACKOFF.pause(self.failures, rng);
         self.failures += 1;
         NextStep {
