--- a/src/gateway/shell/datagram.rs
+++ b/src/gateway/shell/datagram.rs
@@ -1,10 +1,10 @@
 //! Encoding of datagrams between boxes.
 //!
 //! A datagram is a byte for its kind, a message in postcard, and sections. Postcard isn't
-//! self-describing, so the formats of messages never change. New data goes into a section of its own
-//! after the message: a box that doesn't know sections reads the message and ignores the rest, a
-//! box that doesn't know a section's kind skips it, and bytes after the known content of a section
-//! are ignored too. docs/design/evolution.md compares the alternatives.
+//! self-describing, so the formats of messages never change. New data goes into a section of its
+//! own after the message: a box that doesn't know sections reads the message and ignores the rest,
+//! a box that doesn't know a section's kind skips it, and bytes after the known content of a
+//! section are ignored too. docs/design/evolution.md compares the alternatives.
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -66,7 +66,8 @@
     }
 }
 
-/// Encodes the numbers of requests that started to run at a box, as a section after an empty message.
+/// Encodes the numbers of requests that started to run at a box, as a section after an empty
+/// message.
 ///
 /// # Errors
 ///
--- a/src/gateway/shell/endpoint_reader.rs
+++ b/src/gateway/shell/endpoint_reader.rs
@@ -2,9 +2,9 @@
 //! caches them for peers.
 //!
 //! Other programs write entries too. An entry that can't be read makes no endpoint available and
-//! doesn't affect other entries; it is passed on, and peers treat it in the same way. It is counted and
-//! logged once, with its name. An entry whose name isn't a valid endpoint id is skipped, and a text
-//! longer than [`MAX_ENTRY_BYTES`] is replaced by an empty one, which can't be read either.
+//! doesn't affect other entries; it is passed on, and peers treat it in the same way. It is counted
+//! and logged once, with its name. An entry whose name isn't a valid endpoint id is skipped, and a
+//! text longer than [`MAX_ENTRY_BYTES`] is replaced by an empty one, which can't be read either.
 
 use crate::gateway::dispatch::event::{EndpointChange, EndpointSpec, Event};
 use crate::gateway::shell::GatewayShared;
@@ -13,19 +13,20 @@
 use crate::gateway::shell::watcher::StoreChange;
 use crate::schema::EndpointId;
 
-/// Maximum length of an entry that is read, in bytes; an entry that an endpoint writes has about 300.
+/// Maximum length of an entry that is read, in bytes; an entry that an endpoint writes has about
+/// 300.
 const MAX_ENTRY_BYTES: usize = 16 << 10;
 
 /// Caches entries that were read at a revision of the store for peers; returns the event for the
 /// dispatcher, or `None` if nothing has changed.
-pub fn load_endpoints(change: StoreChange, at: u64, shared: &GatewayShared) -> Option<Event> {
+pub fn load_endpoints(change: StoreChange, revision: u64, shared: &GatewayShared) -> Option<Event> {
     let (entries, is_whole) = match change {
         StoreChange::Listed(entries) => (entries, true),
         StoreChange::Changed(entries) => (entries, false),
     };
     let named = entries.into_iter().filter_map(|e| with_id(e, shared));
     let (ids, entries): (Vec<EndpointId>, Vec<Entry>) = named.unzip();
-    let at = shared.cache_endpoints(&entries, is_whole, at)?;
+    let at = shared.cache_endpoints(&entries, is_whole, revision)?;
     let named = ids.iter().zip(&entries);
     let changes = named.map(|(id, entry)| read_change(id, entry, shared));
     let changes: Vec<EndpointChange> = changes.collect();
--- a/src/gateway/shell/faults.rs
+++ b/src/gateway/shell/faults.rs
@@ -1,6 +1,7 @@
 //! Faults that fail no request by themselves: input from outside that can't be read, and messages
-//! that can't be sent. Each is counted by kind, and logged at most once a second and kind. An object of
-//! the store that can't be read is read again with each list, so it is counted and logged once.
+//! that can't be sent. Each is counted by kind, and logged at most once a second and kind. An
+//! object of the store that can't be read is read again with each list, so it is counted and logged
+//! once.
 
 use std::collections::HashSet;
 use std::fmt;
@@ -14,8 +15,8 @@
 
 /// Minimum time between two log lines of one kind.
 const MIN_LOG_INTERVAL: Duration = Duration::from_secs(1);
-/// Maximum number of unreadable objects of the store that are remembered as logged; above it all are
-/// forgotten, and logged again.
+/// Maximum number of unreadable objects of the store that are remembered as logged; above it all
+/// are forgotten, and logged again.
 const MAX_REMEMBERED_FAULTS: usize = 4_096;
 
 /// Kind of a fault.
--- a/src/gateway/shell/packed.rs
+++ b/src/gateway/shell/packed.rs
@@ -9,8 +9,8 @@
 use flate2::Compression;
 use flate2::read::{DeflateDecoder, DeflateEncoder};
 
-/// Maximum length of a text that is packed or unpacked, in bytes: 16 times the size limit of an object
-/// in the users' store.
+/// Maximum length of a text that is packed or unpacked, in bytes: 16 times the size limit of an
+/// object in the users' store.
 const MAX_TEXT_BYTES: usize = 16 << 20;
 
 /// A text compressed with deflate.
--- a/src/gateway/shell/peers.rs
+++ b/src/gateway/shell/peers.rs
@@ -1,8 +1,8 @@
 //! Gossip by UDP: sends the state of this box to others, and receives theirs.
 //!
-//! [`super::datagram`] defines the encoding. A lost datagram is made up for by the next one; one that
-//! this box can't send or read is counted as a fault. Objects of the platform's store are transferred
-//! by TCP ([`super::transfer`]).
+//! [`super::datagram`] defines the encoding. A lost datagram is made up for by the next one; one
+//! that this box can't send or read is counted as a fault. Objects of the platform's store are
+//! transferred by TCP ([`super::transfer`]).
 
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/src/gateway/shell/probes.rs
+++ b/src/gateway/shell/probes.rs
@@ -1,9 +1,9 @@
-//! Short requests to endpoints: whether one answers, which of them has a prompt in its cache, and which
-//! endpoint has an address now.
+//! Short requests to endpoints: whether one answers, which of them has a prompt in its cache, and
+//! which endpoint has an address now.
 //!
 //! Each is one request on an idle or a new connection, with a short timeout. A missing answer is a
-//! result for the dispatcher and isn't counted as a fault. [`super::dialect`] provides paths and reads
-//! bodies.
+//! result for the dispatcher and isn't counted as a fault. [`super::dialect`] provides paths and
+//! reads bodies.
 
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -45,8 +45,9 @@
     shared.send(Input::Event(event)).await;
 }
 
-/// Connects to an endpoint, and sends to the control thread whether the connection is refused, so that
-/// nothing listens there any more. A timeout isn't evidence of that: the network may be interrupted.
+/// Connects to an endpoint, and sends to the control thread whether the connection is refused, so
+/// that nothing listens there any more. A timeout isn't evidence of that: the network may be
+/// interrupted.
 pub async fn check_exited(
     endpoint: EndpointIncarnation,
     address: SocketAddr,
@@ -66,8 +67,8 @@
     shared.send(Input::Event(event)).await;
 }
 
-/// Queries engines for a part of a prompt, and sends the first that has it in its cache to the control
-/// thread.
+/// Queries engines for a part of a prompt, and sends the first that has it in its cache to the
+/// control thread.
 pub async fn locate(
     request: RequestNumber,
     part: String,
--- a/src/gateway/shell/quarantine.rs
+++ b/src/gateway/shell/quarantine.rs
@@ -1,9 +1,9 @@
 //! Stores quarantined requests in the platform's store, so that the loss of all boxes doesn't lose
 //! them. The box that reaches the verdict creates an object for each request.
 //!
-//! A box lists the objects once, when it begins to watch the store in a fleet that has run before. It
-//! doesn't watch them, since boxes publish verdicts to each other. A box that lists an object older
-//! than [`CRASH_RETENTION`] deletes it.
+//! A box lists the objects once, when it begins to watch the store in a fleet that has run before.
+//! It doesn't watch them, since boxes publish verdicts to each other. A box that lists an object
+//! older than [`CRASH_RETENTION`] deletes it.
 
 use std::time::Duration;
 
@@ -29,8 +29,8 @@
 
 /// Timeout for a call; longer than a slow store takes.
 const QUARANTINE_CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Delays after failed calls: short enough to store a verdict before the boxes may be lost, and growing
-/// so that a store that is down isn't overloaded.
+/// Delays after failed calls: short enough to store a verdict before the boxes may be lost, and
+/// growing so that a store that is down isn't overloaded.
 const QUARANTINE_CALL_BACKOFF: Backoff = Backoff {
     first: Duration::from_millis(300),
     longest: Duration::from_secs(5),
--- a/src/gateway/shell/rollouts.rs
+++ b/src/gateway/shell/rollouts.rs
@@ -1,8 +1,8 @@
 //! Roll-out orders in the platform's store: reads their objects, each independently, and writes
 //! their status.
 //!
-//! An object that can't be read has no effect and is logged once; the known order of its service stays.
-//! The watch shows whether a write took effect, so the answer to a write is only recorded.
+//! An object that can't be read has no effect and is logged once; the known order of its service
+//! stays. The watch shows whether a write took effect, so the answer to a write is only recorded.
 
 use std::time::Duration;
 
--- a/src/gateway/shell/snapshots.rs
+++ b/src/gateway/shell/snapshots.rs
@@ -20,7 +20,8 @@
 /// Timeout for dropping a snapshot.
 const DROP_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Requests a snapshot from an engine; sends its name, or that there is none, to the control thread.
+/// Requests a snapshot from an engine; sends its name, or that there is none, to the control
+/// thread.
 pub async fn take(wanted: SnapshotRequest, shared: GatewayShared) {
     let answered = tokio::time::timeout(wanted.limit, request_snapshot(&wanted, &shared)).await;
     let event = Event::SnapshotTaken {
--- a/src/gateway/shell/store.rs
+++ b/src/gateway/shell/store.rs
@@ -47,40 +47,40 @@
 const STORE_ANSWER_TIMEOUT: Duration = Duration::from_secs(45);
 
 /// Follows one kind of object until the process exits.
-pub async fn follow(source: ObjectKind, shared: GatewayShared) {
+pub async fn follow(kind: ObjectKind, shared: GatewayShared) {
     let mut watcher = Watcher::default();
     let mut rng = ChaCha8Rng::seed_from_u64(rand::random());
     let mut connection = StoreConnection::default();
     let mut was_reachable = false;
     loop {
-        if shared.until_watching(source).await {
+        if shared.until_watching(kind).await {
             // The known revision is outdated after a time without watching; only a list gives a
             // current one.
             watcher = Watcher::default();
         }
         let answer = connection
-            .call(source, &watcher.next_request(), &shared)
+            .call(kind, &watcher.next_request(), &shared)
             .await;
         let next = watcher.on_answer(answer, &mut rng);
         if watcher.is_reachable() != was_reachable {
             was_reachable = watcher.is_reachable();
-            record_reachability(source, was_reachable, &shared);
+            record_reachability(kind, was_reachable, &shared);
         }
-        if watcher.is_reachable() && source.shows_store_access() {
+        if watcher.is_reachable() && kind.shows_store_access() {
             shared.send(Input::Event(Event::StoreAnswered)).await;
         }
         let mut pause = next.pause;
         if let Some(change) = next.change {
-            apply_change(source, change, watcher.revision(), &shared).await;
-            pause = pause.max(batch_delay(source));
+            apply_change(kind, change, watcher.revision(), &shared).await;
+            pause = pause.max(batch_delay(kind));
         }
         tokio::time::sleep(pause).await;
     }
 }
 
 /// Delay after a change before the next request, so that many simultaneous changes cost few calls.
-fn batch_delay(source: ObjectKind) -> Duration {
-    match source {
+fn batch_delay(kind: ObjectKind) -> Duration {
+    match kind {
         ObjectKind::Table => TABLE_BATCH_DELAY,
         ObjectKind::Endpoints => ENDPOINT_BATCH_DELAY,
         ObjectKind::Rollouts | ObjectKind::Quarantine => Duration::ZERO,
@@ -88,17 +88,15 @@
 }
 
 /// Lists all objects of a kind once; retries with backoff while the store fails.
-pub(super) async fn list_all(source: ObjectKind, shared: &GatewayShared) {
+pub(super) async fn list_all(kind: ObjectKind, shared: &GatewayShared) {
     let mut watcher = Watcher::default();
     let mut rng = ChaCha8Rng::seed_from_u64(rand::random());
     let mut connection = StoreConnection::default();
     loop {
-        let answer = connection
-            .call(source, &watcher.next_request(), shared)
-            .await;
+        let answer = connection.call(kind, &watcher.next_request(), shared).await;
         let next = watcher.on_answer(answer, &mut rng);
         if let Some(change) = next.change {
-            return apply_change(source, change, watcher.revision(), shared).await;
+            return apply_change(kind, change, watcher.revision(), shared).await;
         }
         tokio::time::sleep(next.pause).await;
     }
@@ -106,18 +104,18 @@
 
 /// Reads the table once, on a separate connection, also if this box doesn't watch the store.
 pub async fn read_table(shared: GatewayShared) {
-    let source = ObjectKind::Table;
+    let kind = ObjectKind::Table;
     let request = StoreRequest::List { after: None };
     let answer = StoreConnection::default()
-        .call(source, &request, &shared)
+        .call(kind, &request, &shared)
         .await;
     // A failure needs no report: the dispatcher reads the store again if no table arrives.
     if let StoreAnswer::Page(page) = answer {
-        apply_change(source, StoreChange::Listed(page.entries), page.at, &shared).await;
+        apply_change(kind, StoreChange::Listed(page.entries), page.at, &shared).await;
     }
 }
 
-fn record_reachability(source: ObjectKind, is_reachable: bool, shared: &GatewayShared) {
+fn record_reachability(kind: ObjectKind, is_reachable: bool, shared: &GatewayShared) {
     let state = if is_reachable {
         "store_reached"
     } else {
@@ -125,16 +123,11 @@
     };
     shared.log.write(&Record::Process {
         state: state.into(),
-        detail: format!("{source:?}"),
+        detail: format!("{kind:?}"),
     });
 }
 
-fn read_page(
-    source: ObjectKind,
-    is_watch: bool,
-    body: &[u8],
-    shared: &GatewayShared,
-) -> StoreAnswer {
+fn read_page(kind: ObjectKind, is_watch: bool, body: &[u8], shared: &GatewayShared) -> StoreAnswer {
     let page = if is_watch {
         shared.dialect.read_watch(body)
     } else {
@@ -142,7 +135,7 @@
     };
     match page {
         Ok(page) => {
-            report_unnamed(source, &page, shared);
+            report_unnamed(kind, &page, shared);
             StoreAnswer::Page(page)
         }
         Err(e) => {
@@ -153,9 +146,9 @@
 }
 
 /// Reports objects without a readable name; the other objects of the page stay valid.
-fn report_unnamed(source: ObjectKind, page: &StorePage, shared: &GatewayShared) {
+fn report_unnamed(kind: ObjectKind, page: &StorePage, shared: &GatewayShared) {
     for object in &page.unnamed {
-        let detail = format_args!("{source:?}: {object}");
+        let detail = format_args!("{kind:?}: {object}");
         shared
             .faults
             .report_once(FaultKind::UnnamedObject, &object.message, &detail);
@@ -173,21 +166,21 @@
 impl StoreConnection {
     async fn call(
         &mut self,
-        source: ObjectKind,
+        kind: ObjectKind,
         request: &StoreRequest,
         shared: &GatewayShared,
     ) -> StoreAnswer {
         let dialect = &shared.dialect;
-        let watch = source.watch_timeout(shared.settings.watch);
+        let watch = kind.watch_timeout(shared.settings.watch);
         let list_timeout = doubled(LIST_HEAD_TIMEOUT, self.failures, MAX_LIST_TIMEOUT_DOUBLINGS);
         let (path, head_timeout, is_watch) = match request {
             StoreRequest::List { after } => (
-                dialect.list_path(source, after.as_deref()),
+                dialect.list_path(kind, after.as_deref()),
                 list_timeout,
                 false,
             ),
-            StoreRequest::Watch { at } => (
-                dialect.watch_path(source, *at, watch),
+            StoreRequest::Watch { revision } => (
+                dialect.watch_path(kind, *revision, watch),
                 watch + WATCH_HEAD_SLACK,
                 true,
             ),
@@ -202,7 +195,7 @@
         }
         let answer = match answered.ok().flatten() {
             Some((StatusCode::GONE, _)) => StoreAnswer::HistoryLost,
-            Some((StatusCode::OK, body)) => read_page(source, is_watch, &body, shared),
+            Some((StatusCode::OK, body)) => read_page(kind, is_watch, &body, shared),
             None | Some(_) => StoreAnswer::Failed,
         };
         if answer == StoreAnswer::Failed {
@@ -233,22 +226,22 @@
     }
 }
 
-/// Applies objects that were read at a revision of the store: caches the table and the endpoints for
-/// peers, and sends every kind to the control thread.
+/// Applies objects that were read at a revision of the store: caches the table and the endpoints
+/// for peers, and sends every kind to the control thread.
 pub async fn apply_change(
-    source: ObjectKind,
+    kind: ObjectKind,
     change: StoreChange,
-    at: u64,
+    revision: u64,
     shared: &GatewayShared,
 ) {
-    match (source, change) {
+    match (kind, change) {
         (ObjectKind::Table, StoreChange::Listed(entries) | StoreChange::Changed(entries)) => {
             for entry in entries {
-                let source = TableSource {
+                let table_source = TableSource {
                     from: "store".to_owned(),
                     read_at: Instant::now(),
                 };
-                table_reader::load_table(TableText::Plain(entry), source, shared).await;
+                table_reader::load_table(TableText::Plain(entry), table_source, shared).await;
             }
         }
         (ObjectKind::Quarantine, StoreChange::Listed(entries) | StoreChange::Changed(entries)) => {
@@ -259,7 +252,7 @@
             shared.send(Input::Event(event)).await;
         }
         (ObjectKind::Endpoints, change) => {
-            if let Some(event) = endpoint_reader::load_endpoints(change, at, shared) {
+            if let Some(event) = endpoint_reader::load_endpoints(change, revision, shared) {
                 shared.send(Input::Event(event)).await;
             }
         }
--- a/src/gateway/shell/store_cache.rs
+++ b/src/gateway/shell/store_cache.rs
@@ -1,9 +1,9 @@
 //! Cache of the unparsed objects that were read from the platform's store, for requests of peers.
 //!
 //! State: the last table, packed; the list of endpoints, and the revision of each recent change. A
-//! peer that misses at most [`MAX_CACHED_CHANGES`] changes gets those, any other peer the full list.
-//! Both are packed: 326 endpoints are about 90 KB of text, which at 20 Mbit/s took 0.28 s to reach
-//! the median of 59 boxes from the two that read the store.
+//! peer that misses at most [`MAX_CACHED_CHANGES`] changes gets those, any other peer the full
+//! list. Both are packed: 326 endpoints are about 90 KB of text, which at 20 Mbit/s took 0.28 s to
+//! reach the median of 59 boxes from the two that read the store.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::io::{Error, Result};
@@ -53,8 +53,8 @@
 const MAX_CACHED_CHANGES: usize = 2_048;
 
 impl StoreCache {
-    /// Applies entries; returns whether any of them has changed. Ignores entries of a revision older
-    /// than the known one, which may arrive late: they would undo newer changes.
+    /// Applies entries; returns whether any of them has changed. Ignores entries of a revision
+    /// older than the known one, which may arrive late: they would undo newer changes.
     pub(super) fn apply(&mut self, entries: &[Entry], is_whole: bool, at: u64) -> bool {
         if at < self.endpoints_at {
             return false;
@@ -114,8 +114,8 @@
             .collect()
     }
 
-    /// The changes after a revision or, if they are no longer cached, the full list; packed. The flag
-    /// says whether it is the full list.
+    /// The changes after a revision or, if they are no longer cached, the full list; packed. The
+    /// flag says whether it is the full list.
     ///
     /// # Errors
     ///
--- a/src/gateway/shell/transfer.rs
+++ b/src/gateway/shell/transfer.rs
@@ -1,9 +1,9 @@
 //! Transfer of the configuration and the endpoints between boxes by TCP.
 //!
-//! [`crate::gateway::dispatch::fetches`] decides from which peer a box fetches ([`fetch`]). Each box
-//! answers requests of others ([`accept`]), up to a limit of data in flight, and declines further
-//! ones at once as busy. A message is its length and a type of `schema/gateway.schema.json` in postcard.
-//! A failed fetch is counted as a fault, and another peer is tried.
+//! [`crate::gateway::dispatch::fetches`] decides from which peer a box fetches ([`fetch`]). Each
+//! box answers requests of others ([`accept`]), up to a limit of data in flight, and declines
+//! further ones at once as busy. A message is its length and a type of `schema/gateway.schema.json`
+//! in postcard. A failed fetch is counted as a fault, and another peer is tried.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -34,15 +34,16 @@
 /// Timeout for connecting to another box.
 const FETCH_CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 /// Timeout for the next bytes of a transfer. Its size and the number of transfers that share the
-/// link don't count: with a limit of 800 ms for a whole transfer, 365 of 771 fetches failed with half
-/// of the bytes received, and started over.
+/// link don't count: with a limit of 800 ms for a whole transfer, 365 of 771 fetches failed with
+/// half of the bytes received, and started over.
 const STALL_TIMEOUT: Duration = Duration::from_secs(1);
-/// Timeout for a whole transfer that keeps making progress: at 10 Mbit/s enough for twelve times the
-/// size limit of an object in the users' store.
+/// Timeout for a whole transfer that keeps making progress: at 10 Mbit/s enough for twelve times
+/// the size limit of an object in the users' store.
 const TRANSFER_TIMEOUT: Duration = Duration::from_secs(10);
-/// Maximum number of kilobytes of one kind in flight to peers; further requests are declined, and the
-/// peers try other boxes. With fewer, the first peer can pass the data on sooner. A larger reply is
-/// sent alone. Time until the last of 87 boxes on 10 Mbit/s has 2,800 routes, four seeds each of
+/// Maximum number of kilobytes of one kind in flight to peers; further requests are declined, and
+/// the peers try other boxes. With fewer, the first peer can pass the data on sooner. A larger
+/// reply is sent alone. Time until the last of 87 boxes on 10 Mbit/s has 2,800 routes, four seeds
+/// each of
 /// `magpiemoor-lab spread`: 128 KB 0.97 to 1.05 s, 256 KB 0.69 to 0.87 s, 512 KB 0.85 to 0.98 s.
 const MAX_KILOBYTES_IN_FLIGHT: u32 = 256;
 /// Number of bytes that are written at a time; [`STALL_TIMEOUT`] applies to each write.
@@ -135,8 +136,8 @@
     at.checked_sub(age).unwrap_or(at)
 }
 
-/// Sends a request to another box and reads the reply; counts the received bytes in `received`, also
-/// if the request fails or is cancelled.
+/// Sends a request to another box and reads the reply; counts the received bytes in `received`,
+/// also if the request fails or is cancelled.
 async fn request_state(
     from: SocketAddr,
     wanted: &StateRequest,
@@ -168,8 +169,8 @@
     }
 }
 
-/// Kilobytes that may still be sent to peers, separate for each kind so that lists of endpoints don't
-/// delay tables.
+/// Kilobytes that may still be sent to peers, separate for each kind so that lists of endpoints
+/// don't delay tables.
 struct SendBudget {
     tables: Semaphore,
     lists: Semaphore,
--- a/src/gateway/shell/watcher.rs
+++ b/src/gateway/shell/watcher.rs
@@ -19,8 +19,8 @@
 use crate::backoff::Backoff;
 use crate::gateway::shell::dialect::{Entry, StorePage};
 
-/// Delays after failures. Without them a request answered with 404 was repeated at once: 65,493 calls
-/// in 34 s.
+/// Delays after failures. Without them a request answered with 404 was repeated at once: 65,493
+/// calls in 34 s.
 const STORE_BACKOFF: Backoff = Backoff {
     first: Duration::from_millis(50),
     longest: Duration::from_millis(800),
@@ -39,7 +39,7 @@
     /// Waits for changes after a revision.
     Watch {
         /// The last revision that was read.
-        at: u64,
+        revision: u64,
     },
 }
 
@@ -75,9 +75,9 @@
 /// The state of following one kind of object.
 #[derive(Debug, Default)]
 pub struct Watcher {
-    at: Option<u64>,
+    revision: Option<u64>,
     listed: Vec<Entry>,
-    list_at: Option<u64>,
+    list_revision: Option<u64>,
     failures: u32,
 }
 
@@ -85,8 +85,8 @@
     /// The request to send now.
     #[must_use]
     pub fn next_request(&self) -> StoreRequest {
-        match self.at {
-            Some(at) => StoreRequest::Watch { at },
+        match self.revision {
+            Some(revision) => StoreRequest::Watch { revision },
             None => StoreRequest::List {
                 after: self.listed.last().map(|e| e.name.clone()),
             },
@@ -96,7 +96,7 @@
     /// The last revision that was read, or 0 before the first complete list.
     #[must_use]
     pub fn revision(&self) -> u64 {
-        self.at.unwrap_or_default()
+        self.revision.unwrap_or_default()
     }
 
     /// Whether the last request succeeded; true before the first one.
@@ -130,29 +130,29 @@
     }
 
     fn on_page(&mut self, page: StorePage) -> Option<StoreChange> {
-        if self.at.is_some() {
-            self.at = Some(page.at);
+        if self.revision.is_some() {
+            self.revision = Some(page.at);
             return (!page.entries.is_empty()).then_some(StoreChange::Changed(page.entries));
         }
         // The watch from the first page's revision repeats changes made while later pages are read.
-        self.list_at.get_or_insert(page.at);
+        self.list_revision.get_or_insert(page.at);
         let is_empty = page.entries.is_empty();
         self.listed.extend(page.entries);
         if page.more && !is_empty {
             return None;
         }
-        self.at = self.list_at.take();
+        self.revision = self.list_revision.take();
         Some(StoreChange::Listed(std::mem::take(&mut self.listed)))
     }
 
     /// Whether the list has more pages, but no object of this one has a readable name.
     fn cannot_continue(&self, page: &StorePage) -> bool {
-        self.at.is_none() && page.more && page.entries.is_empty() && !page.unnamed.is_empty()
+        self.revision.is_none() && page.more && page.entries.is_empty() && !page.unnamed.is_empty()
     }
 
     fn restart(&mut self) {
-        self.at = None;
-        self.list_at = None;
+        self.revision = None;
+        self.list_revision = None;
         self.listed.clear();
     }
 
--- a/tests/gateway_metrics.rs
+++ b/tests/gateway_metrics.rs
@@ -154,7 +154,9 @@
     metrics
         .store_calls_of(&StoreRequest::List { after: None })
         .inc();
-    metrics.store_calls_of(&StoreRequest::Watch { at: 7 }).inc();
+    metrics
+        .store_calls_of(&StoreRequest::Watch { revision: 7 })
+        .inc();
     let text = String::from_utf8(metrics.set().text()).unwrap();
     for kind in ["list", "watch"] {
         let line = format!("magpiemoor_gateway_store_calls_total{{kind=\"{kind}\"}} 1");
--- a/tests/gateway_parts.rs
+++ b/tests/gateway_parts.rs
@@ -155,10 +155,10 @@
     let next = watcher.on_answer(page(&["c"], false, 14), &mut rng);
     let all = ["a", "b", "c"].map(entry).to_vec();
     assert_eq!(next.change, Some(StoreChange::Listed(all)));
-    assert_eq!(watcher.next_request(), StoreRequest::Watch { at: 10 });
+    assert_eq!(watcher.next_request(), StoreRequest::Watch { revision: 10 });
     let next = watcher.on_answer(page(&["d"], false, 15), &mut rng);
     assert_eq!(next.change, Some(StoreChange::Changed(vec![entry("d")])));
-    assert_eq!(watcher.next_request(), StoreRequest::Watch { at: 15 });
+    assert_eq!(watcher.next_request(), StoreRequest::Watch { revision: 15 });
 }
 
 #[rstest]
