--- a/src/gateway/shell/attempt.rs
+++ b/src/gateway/shell/attempt.rs
@@ -1,9 +1,9 @@
-//! One attempt at an endpoint: the connection, the head of the answer, and answers that are read
-//! whole.
+//! One attempt at an endpoint: opens the connection, sends the request, receives the head of the
+//! answer, and buffers answers that are not streams.
 //!
-//! A connection that has rested no longer than the attempt allows is used first; one that the
-//! endpoint had closed costs nothing, the request then goes on a new one. Relies on:
-//! [`crate::http::pool`], which tells a request that was never sent from one that may have been.
+//! A pooled connection is tried first if it has not been idle for longer than the attempt allows.
+//! If the endpoint has closed it, the request is sent on a new connection; this is safe because
+//! [`crate::http::pool`] distinguishes a request that was never sent from one that may have been.
 
 use std::time::Instant;
 
@@ -19,32 +19,29 @@
 use crate::gateway::shell::{GatewayShared, headers};
 use crate::http::pool::{Connection, Pool, SendError};
 
-/// The greatest answer that is held whole, in bytes.
-const MOST_HELD: usize = 8 << 20;
+/// Maximum body size of an answer that is not a stream, in bytes.
+const MAX_BUFFERED_ANSWER: usize = 8 << 20;
 
-/// A request as the caller sent it.
+/// Request as received from the caller.
 #[derive(Debug)]
 pub struct CallerRequest {
-    /// The caller's id of this request.
+    /// Id that the caller gave the request.
     pub id: String,
-    /// Its head.
+    /// Method, URI and headers, unmodified.
     pub head: request::Parts,
-    /// Its body.
+    /// Complete body.
     pub body: Bytes,
 }
 
-/// An answer that is held until the dispatcher says what to do with it.
-pub(super) struct Held {
-    /// Its status.
+/// Complete answer of an endpoint, buffered until the dispatcher decides whether to deliver it.
+pub(super) struct BufferedAnswer {
     pub status: StatusCode,
-    /// Its headers.
     pub headers: HeaderMap,
-    /// Its body.
     pub body: Bytes,
 }
 
-/// Sends a request and waits for the head of its answer.
-pub(super) async fn open(
+/// Sends a request to the attempt's endpoint and waits for the head of the answer.
+pub(super) async fn start_attempt(
     shared: &GatewayShared,
     number: RequestNumber,
     request: &CallerRequest,
@@ -56,9 +53,12 @@
     attempt.after_event = attempt.after_event.max(after);
     if let Some(mut connection) = shared.pool.take(attempt.address, attempt.max_idle) {
         report_connection(shared, number, &attempt).await;
-        match connection.send(outgoing(shared, request, &attempt)).await {
+        match connection
+            .send(outgoing_request(shared, request, &attempt))
+            .await
+        {
             Ok(response) => return Ok((response, connection)),
-            // It was closed before a byte of the request was written.
+            // The endpoint had closed the connection before any byte of the request was written.
             Err(SendError::NotSent) => {}
             Err(e) => return Err(outcome_of(&e)),
         }
@@ -68,13 +68,16 @@
         .map_err(|_| Outcome::NotSent)?;
     report_connection(shared, number, &attempt).await;
     attempt.time_left = attempt.time_left.saturating_sub(started.elapsed());
-    match connection.send(outgoing(shared, request, &attempt)).await {
+    match connection
+        .send(outgoing_request(shared, request, &attempt))
+        .await
+    {
         Ok(response) => Ok((response, connection)),
         Err(e) => Err(outcome_of(&e)),
     }
 }
 
-/// Tells the dispatcher that a request goes out, if it wants to know.
+/// Reports to the dispatcher that the request is being sent, if the attempt asks for this report.
 async fn report_connection(shared: &GatewayShared, request: RequestNumber, attempt: &Attempt) {
     if attempt.reports_connection {
         let attempt = attempt.attempt;
@@ -91,7 +94,7 @@
     }
 }
 
-fn outgoing(
+fn outgoing_request(
     shared: &GatewayShared,
     request: &CallerRequest,
     attempt: &Attempt,
@@ -106,15 +109,15 @@
     outgoing
 }
 
-/// Reads an answer whole.
-pub(super) async fn hold(
+/// Reads the complete body of an answer.
+pub(super) async fn buffer_answer(
     status: StatusCode,
     headers: &HeaderMap,
     body: Incoming,
-) -> Result<Held, Fault> {
-    let body = Limited::new(body, MOST_HELD).collect().await;
+) -> Result<BufferedAnswer, Fault> {
+    let body = Limited::new(body, MAX_BUFFERED_ANSWER).collect().await;
     let body = body.map_err(|_| Fault::Closed)?.to_bytes();
-    Ok(Held {
+    Ok(BufferedAnswer {
         status,
         headers: headers.clone(),
         body,
--- a/src/gateway/shell/callers.rs
+++ b/src/gateway/shell/callers.rs
@@ -1,7 +1,8 @@
-//! Takes callers' requests: reads each whole and gives it to an exchange of its own.
+//! HTTP handler for callers' requests: reads each request completely and starts an exchange for it.
 //!
-//! What can't be read is refused here with the reason in the body (400, 408, 413), and what there
-//! is no room for as not run; everything else is decided by [`crate::gateway::dispatch`].
+//! Invalid requests are rejected here with the reason in the body (400, 408, 413). A request whose
+//! body does not fit into the memory limit is refused as not run. All other decisions are made by
+//! [`crate::gateway::dispatch`].
 
 use std::panic::AssertUnwindSafe;
 use std::pin::Pin;
@@ -25,19 +26,19 @@
 use crate::http::{self, BodyError};
 use crate::schema::Fingerprint;
 
-/// The greatest body that is read before there is a configuration, in bytes.
-const UNCONFIGURED_BODY: usize = 1 << 20;
+/// Maximum size of a request body before the first configuration, in bytes.
+const MAX_UNCONFIGURED_BODY: usize = 1 << 20;
 
 static NEXT_REQUEST: AtomicU64 = AtomicU64::new(1);
 
-/// Serves callers.
+/// Handler of the callers' listener.
 #[derive(Clone)]
 pub struct Callers {
     shared: Arc<AssertUnwindSafe<GatewayShared>>,
 }
 
 impl Callers {
-    /// A handler for the callers' listener.
+    /// Creates the handler; its clones share the gateway's resources.
     #[must_use]
     pub fn new(shared: GatewayShared) -> Self {
         Self {
@@ -67,19 +68,19 @@
     let head = head_of(state);
     let mut arrival = match shared.dialect.read_request(&head) {
         Ok(arrival) => arrival,
-        Err(bad) => return mistake(StatusCode::BAD_REQUEST, &bad.message),
+        Err(bad) => return reject(StatusCode::BAD_REQUEST, &bad.message),
     };
-    let most = shared
+    let max_bytes = shared
         .limits()
-        .map_or(UNCONFIGURED_BODY, |limits| limits.body_bytes);
-    let Some(_room) = shared.reserve_body_memory(&head.headers, most) else {
+        .map_or(MAX_UNCONFIGURED_BODY, |limits| limits.body_bytes);
+    let Some(_reservation) = shared.reserve_body_memory(&head.headers, max_bytes) else {
         return shared.refuse_for_memory(&arrival.id);
     };
-    let body = match http::read_body(Body::take_from(state), most).await {
+    let body = match http::read_body(Body::take_from(state), max_bytes).await {
         Ok(body) => body,
-        Err(e) => return body_mistake(&e, most),
+        Err(e) => return reject_body(&e, max_bytes),
     };
-    arrival.content = content_of(&arrival, &head, &body);
+    arrival.content = fingerprint(&arrival, &head, &body);
     let number = RequestNumber(NEXT_REQUEST.fetch_add(1, Ordering::Relaxed));
     let (commands, received) = mpsc::unbounded_channel();
     let (reply, replied) = oneshot::channel();
@@ -103,9 +104,12 @@
     };
     shared.send(input).await;
     tokio::spawn(exchange.run());
-    replied
-        .await
-        .unwrap_or_else(|_| mistake(StatusCode::BAD_GATEWAY, "the exchange ended; try again"))
+    replied.await.unwrap_or_else(|_| {
+        reject(
+            StatusCode::BAD_GATEWAY,
+            "the request got no answer; try again",
+        )
+    })
 }
 
 fn head_of(state: &mut State) -> request::Parts {
@@ -116,27 +120,31 @@
     head
 }
 
-/// What a request asks for, so that it is known when it is sent again.
-fn content_of(arrival: &Arrival, head: &request::Parts, body: &[u8]) -> Fingerprint {
+/// Fingerprint of a request's content, by which a retry is recognised as the same request.
+fn fingerprint(arrival: &Arrival, head: &request::Parts, body: &[u8]) -> Fingerprint {
     let target = head.uri.path_and_query();
     let target = target.map_or(arrival.path.as_str(), PathAndQuery::as_str);
     Fingerprint::of_content(head.method.as_str(), &arrival.host, target, body)
 }
 
-fn body_mistake(error: &BodyError, most: usize) -> Response<Body> {
+fn reject_body(error: &BodyError, max_bytes: usize) -> Response<Body> {
     match error {
         BodyError::TooLong => {
-            let text = format!("the body may have {most} bytes; send a shorter one");
-            mistake(StatusCode::PAYLOAD_TOO_LARGE, &text)
+            let text =
+                format!("the body exceeds the limit of {max_bytes} bytes; send a shorter one");
+            reject(StatusCode::PAYLOAD_TOO_LARGE, &text)
         }
-        BodyError::TooSlow => mistake(
+        BodyError::TooSlow => reject(
             StatusCode::REQUEST_TIMEOUT,
-            "the body did not come in time; send it whole",
+            "the body was not received within the time limit; send it faster",
+        ),
+        BodyError::Broken => reject(
+            StatusCode::BAD_REQUEST,
+            "the body is incomplete or invalid; send it again",
         ),
-        BodyError::Broken => mistake(StatusCode::BAD_REQUEST, "the body broke off; send it whole"),
     }
 }
 
-fn mistake(status: StatusCode, text: &str) -> Response<Body> {
+fn reject(status: StatusCode, text: &str) -> Response<Body> {
     http::respond(status, "text/plain", http::full(format!("{text}\n")))
 }
--- a/src/gateway/shell/control.rs
+++ b/src/gateway/shell/control.rs
@@ -1,7 +1,7 @@
-//! The control thread: owns the dispatcher, feeds it events, and has its actions carried out.
+//! Control thread: owns the dispatcher, passes events to it and carries out its actions.
 //!
-//! It is the only thread that touches the dispatcher, so decisions are made one after the other.
-//! What takes time is spawned on the traffic threads, which report by [`super::input`].
+//! No other thread accesses the dispatcher, so decisions are made sequentially. Actions that take
+//! time run as tasks on the traffic threads, which report their results as [`super::input`].
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -20,7 +20,7 @@
     transfer,
 };
 
-/// The control thread's own state.
+/// State of the control thread: the dispatcher, and the command channel of each open request.
 pub struct Control {
     dispatcher: Dispatcher,
     shared: GatewayShared,
@@ -30,7 +30,7 @@
 }
 
 impl Control {
-    /// Prepares the thread.
+    /// Creates the state; [`Self::run`] starts handling inputs.
     #[must_use]
     pub fn new(
         dispatcher: Dispatcher,
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Runs until the process is to end.
+    /// Handles inputs and timers until [`Input::Exit`] arrives or all senders are dropped.
     pub async fn run(mut self, mut inputs: mpsc::Receiver<Input>) {
         loop {
             let tick = self.shared.clock.instant(self.dispatcher.next_tick());
@@ -58,12 +58,12 @@
             };
             match input {
                 None | Some(Input::Exit) => return,
-                Some(input) => self.take_in(input),
+                Some(input) => self.handle_input(input),
             }
         }
     }
 
-    fn take_in(&mut self, input: Input) {
+    fn handle_input(&mut self, input: Input) {
         let event = match input {
             Input::Exit => return,
             Input::Event(event) => event,
@@ -79,7 +79,7 @@
         if let Event::CallerDisconnected(request) = &event {
             self.commands.remove(request);
         }
-        let is_belief = matches!(
+        let changes_table = matches!(
             event,
             Event::Table(_) | Event::EndpointsListed { .. } | Event::Stop { .. }
         );
@@ -89,20 +89,20 @@
         for action in actions {
             self.perform(action);
         }
-        if is_belief || was_ready != self.dispatcher.is_ready() {
+        if changes_table || was_ready != self.dispatcher.is_ready() {
             self.shared
                 .set_table(self.dispatcher.table().cloned(), self.dispatcher.is_ready());
         }
         self.shared.set_active(self.dispatcher.active());
         if is_tick {
-            self.count_boxes();
+            self.update_gauges();
         }
     }
 
-    fn count_boxes(&mut self) {
-        let (near, all) = self.dispatcher.known_boxes();
+    fn update_gauges(&mut self) {
+        let (local, all) = self.dispatcher.known_boxes();
         let gauge = |boxes| i64::try_from(boxes).unwrap_or(i64::MAX);
-        self.shared.metrics.boxes_near.set(gauge(near));
+        self.shared.metrics.boxes_local.set(gauge(local));
         self.shared.metrics.boxes.set(gauge(all));
         let limited = self.dispatcher.fleet().limits.count();
         let permits = self.dispatcher.take_permit_counts();
@@ -131,19 +131,19 @@
             | Action::PublishLimits { .. }
             | Action::CallDutyStore(_)
             | Action::ReportUsage { .. }
-            | Action::WriteRollout(_) => self.speak_to_boxes(action),
+            | Action::WriteRollout(_) => self.call_peers_or_store(action),
             Action::Probe { .. }
             | Action::CheckExited { .. }
             | Action::Locate { .. }
             | Action::TakeSnapshot(_)
             | Action::DropSnapshot { .. }
             | Action::RequestIdentity { .. }
-            | Action::Identify(_) => self.speak_to_endpoints(action),
+            | Action::Identify(_) => self.call_endpoints(action),
         }
     }
 
-    /// What goes to other boxes and to the store.
-    fn speak_to_boxes(&self, action: Action) {
+    /// Spawns the task of an action that addresses peers or the platform's store.
+    fn call_peers_or_store(&self, action: Action) {
         let shared = self.shared.clone();
         let gossip = Arc::clone(&self.gossip);
         match action {
@@ -159,10 +159,10 @@
             }
             Action::GossipUsage {
                 to,
-                update: news,
+                update,
                 crashes,
             } => {
-                let datagram = datagram::write_usage(&news, &crashes);
+                let datagram = datagram::write_usage(&update, &crashes);
                 self.spawn(peers::send(gossip, to, datagram, shared));
             }
             Action::FetchState { from, kind, wanted } => {
@@ -175,12 +175,12 @@
                 is_quarantined,
             } => self.spawn(quarantine::write_object(request, is_quarantined, shared)),
             Action::WriteRollout(write) => self.spawn(rollouts::write_status(write, shared)),
-            Action::PublishUsageCounts { to, update: news } => {
-                let datagram = datagram::write_usage_counts(&news);
+            Action::PublishUsageCounts { to, update } => {
+                let datagram = datagram::write_usage_counts(&update);
                 self.spawn(peers::send(gossip, to, datagram, shared));
             }
-            Action::PublishLimits { to, update: news } => {
-                let datagram = datagram::write_limits(&news);
+            Action::PublishLimits { to, update } => {
+                let datagram = datagram::write_limits(&update);
                 self.spawn(peers::send(gossip, to, datagram, shared));
             }
             Action::CallDutyStore(call) => self.spawn(duties::call_store(call, shared)),
@@ -191,8 +191,9 @@
         }
     }
 
-    /// What endpoints are asked beside requests.
-    fn speak_to_endpoints(&self, action: Action) {
+    /// Spawns the task of an action that calls endpoints for anything other than a caller's
+    /// request.
+    fn call_endpoints(&self, action: Action) {
         let shared = self.shared.clone();
         match action {
             Action::Probe {
@@ -232,7 +233,8 @@
             Command::Deliver | Command::Finish | Command::Refuse(_)
         );
         if let Some(commands) = self.commands.get(&request) {
-            // An exchange whose caller has gone needs no command.
+            // Sending fails if the caller disconnected and the exchange has ended; that is
+            // harmless.
             let _ = commands.send(command);
         }
         if is_last {
--- a/src/gateway/shell/decision_log.rs
+++ b/src/gateway/shell/decision_log.rs
@@ -1,7 +1,7 @@
-//! The decision log: one line of JSON for each record, written by a thread of its own.
+//! Decision log: one JSON line per record, written by a dedicated thread.
 //!
-//! The queue to the writer is bounded and never waited for: when it is full, records are left out
-//! and counted, and the next line that fits says how many.
+//! The queue to the writer is bounded, and threads that write records never wait for it. If it is
+//! full, records are dropped and counted, and the next line that fits reports their number.
 
 use std::io::Write;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -13,69 +13,68 @@
 use crate::gateway::dispatch::record::Record;
 use crate::schema::BoxId;
 
-/// How many lines may wait for the writer.
-const LINES_WAITING: usize = 4_096;
+/// Maximum number of lines that are queued for the writer.
+const MAX_QUEUED_LINES: usize = 4_096;
 
-/// A line of the log.
+/// One line of the log.
 #[derive(Serialize)]
 struct Line<'a> {
-    /// A hybrid time that orders lines of several boxes.
+    /// Hybrid timestamp that orders the lines of several boxes.
     at: u64,
-    /// The box.
     r#box: &'a str,
     #[serde(flatten)]
     record: &'a Record,
 }
 
-/// Where records go.
+/// Handle for writing records to the decision log.
 #[derive(Debug)]
 pub struct DecisionLog {
     lines: SyncSender<String>,
-    left_out: AtomicU64,
-    me: BoxId,
+    dropped_lines: AtomicU64,
+    box_id: BoxId,
     clock: Hybrid,
 }
 
 impl DecisionLog {
-    /// Starts the writer.
+    /// Starts the writer thread, which writes to `out`; all lines carry `box_id`.
     ///
     /// # Errors
     ///
-    /// If no thread can be started.
-    pub fn start(me: BoxId, out: impl Write + Send + 'static) -> std::io::Result<Self> {
-        let (lines, received) = sync_channel(LINES_WAITING);
+    /// If the thread can't be started.
+    pub fn start(box_id: BoxId, out: impl Write + Send + 'static) -> std::io::Result<Self> {
+        let (lines, received) = sync_channel(MAX_QUEUED_LINES);
         std::thread::Builder::new()
             .name("log".to_owned())
             .spawn(move || write_all(&received, out))?;
         Ok(Self {
             lines,
-            left_out: AtomicU64::new(0),
-            me,
+            dropped_lines: AtomicU64::new(0),
+            box_id,
             clock: Hybrid::default(),
         })
     }
 
-    /// Writes a record, unless the writer is too far behind.
+    /// Queues a record for the writer; drops it if the queue is full.
     pub fn write(&self, record: &Record) {
-        let left_out = self.left_out.swap(0, Ordering::Relaxed);
-        if left_out > 0 {
-            let note = Record::Process {
+        let dropped = self.dropped_lines.swap(0, Ordering::Relaxed);
+        if dropped > 0 {
+            let report = Record::Process {
                 state: "log_lines_left_out".into(),
-                detail: left_out.to_string(),
+                detail: dropped.to_string(),
             };
-            if !self.push(&note) {
-                self.left_out.fetch_add(left_out, Ordering::Relaxed);
+            if !self.push(&report) {
+                self.dropped_lines.fetch_add(dropped, Ordering::Relaxed);
             }
         }
         if !self.push(record) {
-            self.left_out.fetch_add(1, Ordering::Relaxed);
+            self.dropped_lines.fetch_add(1, Ordering::Relaxed);
         }
     }
 
     fn push(&self, record: &Record) -> bool {
         let line = Line {
             at: self.clock.tick().0,
-            r#box: &self.me,
+            r#box: &self.box_id,
             record,
         };
         serde_json::to_string(&line).is_ok_and(|text| self.lines.try_send(text).is_ok())
@@ -84,7 +83,7 @@
 
 fn write_all(received: &Receiver<String>, mut out: impl Write) {
     while let Ok(line) = received.recv() {
-        // There is nowhere else to say that the output is gone.
+        // A failed write can't be reported: the log itself is the place for such reports.
         let _ = writeln!(out, "{line}");
     }
 }
--- a/src/gateway/shell/dialect.rs
+++ b/src/gateway/shell/dialect.rs
@@ -1,6 +1,8 @@
-//! The edges of a gateway: how callers, endpoints and the platform's store are spoken to.
+//! Interface to the platform's protocols: how a gateway exchanges messages with callers, endpoints
+//! and the platform's store.
 //!
-//! A dialect only translates. It makes no decision, keeps no state, and does no input or output.
+//! A dialect only translates between wire formats and the gateway's types. It makes no decisions,
+//! keeps no state and does no input or output.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -21,17 +23,17 @@
 use crate::gateway::dispatch::table::{RoutingTable, TableError};
 use crate::schema::{BoxId, EndpointId, Fingerprint, StartTime};
 
-/// Why a request can't be read.
+/// Error for a caller's request that is invalid.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct BadRequest {
-    /// What is wrong with it, and the remedy.
+    /// Fault of the request, and the remedy.
     pub message: String,
 }
 
-/// Why something that came from outside can't be read.
+/// Error for external data that can't be parsed.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Unreadable {
-    /// What can't be read, why, and the remedy.
+    /// Data that can't be parsed, the reason, and the remedy.
     pub message: String,
 }
 
@@ -43,41 +45,42 @@
 
 impl std::error::Error for Unreadable {}
 
-/// What the head of an endpoint's answer says.
+/// Classification of an endpoint's answer by its head.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum AnswerKind {
-    /// It answers the request.
+    /// Answer to the request, of any status.
     Valid,
-    /// The request was not run.
+    /// The endpoint did not run the request.
     NotRun(NotRunCause),
-    /// It belongs to another request.
+    /// Answer to another request.
     Foreign,
-    /// It is no answer of an endpoint.
+    /// Invalid as an answer of an endpoint.
     Malformed,
 }
 
-/// How many times as long a watch of roll-outs waits: 7 calls a minute and failure domain instead of
-/// 20. With it, and with empty lists that tell nobody, 730 calls to the store a play for 790 (54 plays
-/// of the small sites' trouble days).
-const ROLLOUT_WATCHES: u32 = 3;
-/// The longest that a watch waits, as for the setting.
-const LONGEST_WATCH: Duration = Duration::from_secs(30);
+/// Factor by which a watch of roll-out orders waits longer than one of tables or endpoints: 7 calls
+/// per minute and failure domain instead of 20. Together with empty lists that aren't published to
+/// peers, it reduces the calls to the store from 790 to 730 per run (54 simulated runs of small
+/// sites on days with faults).
+const ROLLOUT_WATCH_FACTOR: u32 = 3;
+/// Maximum duration of a watch; the same limit applies to the setting.
+const MAX_WATCH: Duration = Duration::from_secs(30);
 
-/// What is read from the platform's store.
+/// Kind of objects in the platform's store.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum ObjectKind {
-    /// The operators' configuration.
+    /// Configuration, written by operators.
     Table,
-    /// The list of endpoints.
+    /// Endpoint list, one object per endpoint.
     Endpoints,
-    /// Orders of roll-outs.
+    /// Roll-out orders.
     Rollouts,
-    /// Requests that are quarantined; they are never watched.
+    /// Quarantined requests; these are listed but never watched.
     Quarantine,
 }
 
 impl ObjectKind {
-    /// All kinds, in the order of their numbers.
+    /// All kinds, in the order of their discriminants.
     pub const ALL: [Self; 4] = [
         Self::Table,
         Self::Endpoints,
@@ -85,20 +88,23 @@
         Self::Quarantine,
     ];
 
-    /// How long a watch waits, where one of what every box needs waits for `watch`.
+    /// Returns how long a watch of this kind waits for changes; `watch` is the duration for the
+    /// kinds that every box needs.
     ///
-    /// Orders of roll-outs are rare, and the first box of each failure domain watches them: a silent
-    /// connection keeps an order from one domain, and the others tell it.
+    /// Roll-out orders are rare, so their watches wait longer. The first box of each failure domain
+    /// watches them: a stalled connection delays an order in only one domain, which then receives
+    /// it from the others.
     #[must_use]
     pub fn watch_timeout(self, watch: Duration) -> Duration {
         match self {
             Self::Table | Self::Endpoints | Self::Quarantine => watch,
-            Self::Rollouts => (watch * ROLLOUT_WATCHES).min(LONGEST_WATCH),
+            Self::Rollouts => (watch * ROLLOUT_WATCH_FACTOR).min(MAX_WATCH),
         }
     }
 
-    /// Whether an answer shows that a box can tell others what they need of the store. One with
-    /// orders of roll-outs does not: tables and endpoints have connections of their own.
+    /// Whether an answer of this kind shows that the box can read the store on behalf of its peers.
+    /// An answer with roll-out orders does not: tables and endpoints are read over other
+    /// connections, which may be stalled.
     #[must_use]
     pub fn shows_store_access(self) -> bool {
         match self {
@@ -108,163 +114,166 @@
     }
 }
 
-/// An object of the store.
+/// Object in the store, or its removal.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Entry {
-    /// Its name.
+    /// Name by which lists and watches identify the object.
     pub name: String,
-    /// Its content as text, or `None` once it is gone.
+    /// Content, or `None` if the object was removed.
     pub text: Option<String>,
 }
 
-/// What the store answers to a list or a watch.
+/// Answer of the store to a list or a watch.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct StorePage {
-    /// Objects, or changes of them, that have a name.
+    /// Objects, or changes of objects, with valid names.
     pub entries: Vec<Entry>,
-    /// Objects whose names can't be read.
+    /// Errors for objects without a valid name.
     pub unnamed: Vec<Unreadable>,
-    /// Whether the list goes on after the last of them.
+    /// Whether the list continues after the last entry.
     pub more: bool,
-    /// The store's revision.
+    /// Revision of the store.
     pub at: u64,
 }
 
-/// A call that a duty needs.
+/// HTTP call that a duty makes.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct DutyCall {
-    /// The method.
+    /// HTTP method.
     pub method: Method,
-    /// The path.
+    /// Path, including the query if there is one.
     pub path: String,
-    /// Headers beside those of any call.
+    /// Headers in addition to those of every call.
     pub headers: HeaderMap,
-    /// The body, if it has one.
+    /// Body; empty if the call has none.
     pub body: String,
 }
 
-/// Translates between the outside and a gateway.
+/// Translates between the platform's wire formats and the gateway's types.
 pub trait Dialect: Send + Sync + 'static {
-    /// Reads the head of a caller's request.
+    /// Parses the head of a caller's request.
     ///
     /// # Errors
     ///
-    /// Says what is wrong with it.
+    /// If the head is invalid; the message names the fault.
     fn read_request(&self, head: &request::Parts) -> Result<Arrival, BadRequest>;
 
-    /// The head of the final answer to a request that no endpoint answered.
+    /// Returns status and headers of the answer to a refused request.
     fn refusal(&self, id: &str, refusal: Refusal) -> (StatusCode, HeaderMap);
 
-    /// The headers with which a request goes to an endpoint.
-    fn request_headers(&self, caller: &HeaderMap, id: &str, sending: &Attempt) -> HeaderMap;
+    /// Returns the headers of a request that is sent to an endpoint.
+    fn request_headers(&self, caller: &HeaderMap, id: &str, attempt: &Attempt) -> HeaderMap;
 
-    /// Judges the head of an endpoint's answer.
+    /// Classifies an endpoint's answer to the request `id` by its head.
     fn classify_answer(&self, head: &response::Parts, id: &str) -> AnswerKind;
 
-    /// The limit of requests a second that the head of an endpoint's answer names.
+    /// Returns the limit of requests per second that an endpoint's answer states, if any.
     ///
     /// # Errors
     ///
-    /// If what it names is no limit.
+    /// If the stated limit is invalid.
     fn limit(&self, headers: &HeaderMap) -> Result<Option<RequestRate>, Unreadable>;
 
-    /// Who answered a health check.
+    /// Returns the id of the endpoint that sent an answer, if it states one.
     fn instance(&self, headers: &HeaderMap) -> Option<EndpointId>;
 
-    /// The path of an endpoint's load report.
+    /// Returns the path of an endpoint's load report.
     fn load_path(&self) -> &'static str;
 
-    /// Whether what answered this at the path of [`Self::load_path`] is a model engine.
+    /// Whether this answer to a request for [`Self::load_path`] comes from a model engine.
     fn is_engine(&self, body: &[u8]) -> bool;
 
-    /// When the process that answered this at the path of [`Self::load_path`] started, if it says so.
+    /// Returns the start time of the process that sent this answer to a request for
+    /// [`Self::load_path`], if it states one.
     fn start_time(&self, body: &[u8]) -> Option<StartTime>;
 
-    /// The path and body with which an engine is asked for a snapshot of an attempt.
+    /// Returns path and body of the request for a snapshot of the attempt that the engine knows as
+    /// `run`; the snapshot goes to the host at `to`.
     fn snapshot_request(&self, run: &str, to: SocketAddr) -> (&'static str, String);
 
-    /// Reads the name of the snapshot that was taken.
+    /// Parses the name of a snapshot from an engine's answer.
     ///
     /// # Errors
     ///
-    /// Says why it can't be read.
+    /// If the answer contains no valid name.
     fn read_snapshot(&self, body: &[u8]) -> Result<SnapshotName, Unreadable>;
 
-    /// The path whose deletion drops a snapshot.
+    /// Returns the path at which a `DELETE` request drops a snapshot.
     fn drop_snapshot_path(&self, name: &SnapshotName) -> String;
 
-    /// The path at which an engine tells which parts of prompts it keeps.
+    /// Returns the path at which an engine lists the prompt parts in its cache.
     fn cache_path(&self) -> &'static str;
 
-    /// Whether an engine that answered this keeps a part of a prompt.
+    /// Whether the engine that sent this answer has a prompt part in its cache.
     fn keeps_part(&self, body: &[u8], part: &str) -> bool;
 
-    /// The path at which this process says whether it is ready.
+    /// Returns the path of this process's readiness check.
     fn ready_path(&self) -> &'static str;
 
-    /// The path of a list, from the object after a name on.
+    /// Returns the path of a list call; the list starts after the object named `after`.
     fn list_path(&self, source: ObjectKind, after: Option<&str>) -> String;
 
-    /// The path of a watch from a revision on.
+    /// Returns the path of a watch for changes after revision `at` that waits for up to `wait`.
     fn watch_path(&self, source: ObjectKind, at: u64, wait: Duration) -> String;
 
-    /// Reads the answer to a list, each object alone: one that can't be read spoils no other.
+    /// Parses the answer to a list. Each object is parsed separately, so that an invalid one
+    /// doesn't affect the others.
     ///
     /// # Errors
     ///
-    /// Says why the answer as a whole can't be read.
+    /// If the answer as a whole can't be parsed.
     fn read_list(&self, body: &[u8]) -> Result<StorePage, Unreadable>;
 
-    /// Reads the answer to a watch, as [`Self::read_list`] does.
+    /// Parses the answer to a watch, as [`Self::read_list`] does.
     ///
     /// # Errors
     ///
-    /// Says why the answer as a whole can't be read.
+    /// If the answer as a whole can't be parsed.
     fn read_watch(&self, body: &[u8]) -> Result<StorePage, Unreadable>;
 
-    /// Reads the operators' configuration; `None` where an object holds something else.
+    /// Parses the operators' configuration; returns `None` if the object holds other data.
     ///
     /// # Errors
     ///
-    /// Says why it can't be used.
+    /// If the configuration is invalid.
     fn read_table(&self, entry: &Entry) -> Option<Result<RoutingTable, TableError>>;
 
-    /// Reads an entry of the list of endpoints.
+    /// Parses an entry of the endpoint list.
     ///
     /// # Errors
     ///
-    /// Says why it can't be read.
+    /// If the entry is invalid.
     fn read_endpoint(&self, entry: &Entry) -> Result<EndpointSpec, Unreadable>;
 
-    /// The path and body of the call that keeps that a request is quarantined since a time of day.
+    /// Returns path and body of the call that stores that a request is quarantined since `since`.
     fn quarantine_object(&self, request: Fingerprint, since: UnixMillis) -> (String, String);
 
-    /// The path of such an object.
+    /// Returns the path of a quarantined request's object.
     fn quarantine_object_path(&self, request: Fingerprint) -> String;
 
-    /// Reads such an object.
+    /// Parses the object of a quarantined request.
     ///
     /// # Errors
     ///
-    /// Says why it can't be read.
+    /// If the object is invalid.
     fn read_quarantine(&self, entry: &Entry) -> Result<(Fingerprint, UnixMillis), Unreadable>;
 
-    /// The call of the store that a duty needs.
+    /// Returns the store call for an operation of a duty.
     fn duty_call(&self, operation: &StoreOperation) -> DutyCall;
 
-    /// Reads the store's answer to it.
+    /// Parses the store's answer to an operation of a duty.
     fn read_duty(&self, operation: &StoreOperation, status: StatusCode, body: &[u8]) -> DutyAnswer;
 
-    /// The call that reports the usage of a window.
+    /// Returns the call that reports the usage of a window.
     fn usage_report(&self, holder: &BoxId, token: u64, window: &SettledWindow) -> DutyCall;
 
-    /// Reads an object that orders a roll-out.
+    /// Parses the object of a roll-out order.
     ///
     /// # Errors
     ///
-    /// Says why it can't be read.
+    /// If the object is invalid.
     fn read_rollout(&self, entry: &Entry) -> Result<ObjectState, Unreadable>;
 
-    /// The path and body of the call that writes such an object's status.
+    /// Returns path and body of the call that writes the status of a roll-out order.
     fn rollout_status(&self, write: &StatusWrite) -> (String, String);
 }
--- a/src/gateway/shell/events.rs
+++ b/src/gateway/shell/events.rs
@@ -1,70 +1,72 @@
-//! Cuts a stream of bytes into whole events, without changing a byte of them.
+//! Splits a byte stream of server-sent events into complete events without changing any byte.
 //!
-//! Only the id of an event is read. An event that was begun and not ended is never passed on.
+//! Only the id of an event is parsed. An incomplete event is never returned.
 
 use bytes::{Bytes, BytesMut};
 
-/// The longest event that is taken, in bytes.
-const LONGEST_EVENT: usize = 1 << 20;
+/// Number of bytes after which an event without an end is rejected.
+const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// A whole event.
+/// One complete event.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct RawEvent {
-    /// Its bytes, with the blank line that ends it.
+    /// Bytes of the event, including the blank line that ends it.
     pub bytes: Bytes,
-    /// Its id, if it has a number for one.
+    /// Numeric id, if the event has one.
     pub id: Option<u64>,
 }
 
-/// The stream is not one of events.
+/// Error for an event that exceeds the size limit.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct EventTooLong;
 
-/// Collects bytes until they make an event.
+/// Buffers bytes until they contain a complete event.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
-    held: BytesMut,
+    buffer: BytesMut,
+    /// Length of the buffer's prefix that can't contain the start of an event's end.
     searched: usize,
 }
 
 impl EventSplitter {
-    /// Adds bytes as they came.
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
-        self.held.extend_from_slice(bytes);
+        self.buffer.extend_from_slice(bytes);
     }
 
-    /// Takes the next whole event.
+    /// Removes the next complete event from the buffer and returns it, if there is one.
     ///
     /// # Errors
     ///
-    /// If an event is longer than any that is taken.
+    /// If the buffered part of an incomplete event exceeds the size limit.
     pub fn next_event(&mut self) -> Result<Option<RawEvent>, EventTooLong> {
         let Some(end) = self.find_end() else {
-            self.searched = self.held.len().saturating_sub(3);
-            return if self.held.len() > LONGEST_EVENT {
+            self.searched = self.buffer.len().saturating_sub(3);
+            return if self.buffer.len() > MAX_EVENT_BYTES {
                 Err(EventTooLong)
             } else {
                 Ok(None)
             };
         };
         self.searched = 0;
-        let bytes = self.held.split_to(end).freeze();
+        let bytes = self.buffer.split_to(end).freeze();
         let id = id_of(&bytes);
         Ok(Some(RawEvent { bytes, id }))
     }
 
-    /// Whether bytes are held that make no whole event.
+    /// Whether the buffer contains anything but white space, that is an incomplete event once
+    /// [`Self::next_event`] has returned `None`.
     #[must_use]
     pub fn has_incomplete_event(&self) -> bool {
-        self.held.iter().any(|b| !b.is_ascii_whitespace())
+        self.buffer.iter().any(|b| !b.is_ascii_whitespace())
     }
 
-    /// The place after the next blank line.
+    /// Returns the position after the next blank line.
     fn find_end(&self) -> Option<usize> {
-        let held = &self.held[..];
+        let buffer = &self.buffer[..];
         let mut at = self.searched;
-        while at < held.len() {
-            let rest = &held[at..];
+        while at < buffer.len() {
+            let rest = &buffer[at..];
             if rest.starts_with(b"\n\n") || rest.starts_with(b"\r\r") {
                 return Some(at + 2);
             }
@@ -77,8 +79,8 @@
     }
 }
 
-/// The id of an event; one that is no number counts as none, and the event is passed on all the
-/// same.
+/// Returns the id of an event. An id that is not a number counts as absent; such an event is still
+/// forwarded.
 fn id_of(event: &[u8]) -> Option<u64> {
     let lines = event.split(|b| *b == b'\n' || *b == b'\r');
     let mut id = None;
--- a/src/gateway/shell/exchange.rs
+++ b/src/gateway/shell/exchange.rs
@@ -1,14 +1,14 @@
-//! The task of one caller's request: makes attempts where the dispatcher says, and passes the
-//! answer on.
+//! Task of one caller's request: makes attempts at the endpoints that the dispatcher selects and
+//! forwards the answer to the caller.
 //!
-//! It moves bytes and reports what happens; it decides nothing. States: nothing was answered yet; a
-//! stream has begun; the final answer was given. A stream goes to the caller event by event, and
-//! its head only with the first one, so that whatever fails before can still be answered properly.
-//! Its body ends whole only with an explicit end, so a process that dies can't make one look
-//! complete.
+//! The task moves bytes and reports events; all decisions are made by [`crate::gateway::dispatch`].
+//! It owns the caller's connection and the connection of the active attempt, which
+//! [`super::attempt`] opens. An exchange is in one of three states: nothing has been sent to the
+//! caller, a stream has begun, or the final answer has been sent.
 //!
-//! Owns: the caller's connection and that of the active attempt. Relies on:
-//! [`crate::gateway::dispatch`] for what to do, [`super::attempt`] for the head of an answer.
+//! A stream is forwarded event by event. Its head is sent together with the first event, so that an
+//! earlier failure can still be answered with a status. The body is terminated properly only on an
+//! explicit end, so a process that dies in the middle of a stream can't make it look complete.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -26,7 +26,7 @@
     AttemptNumber, Event, Fault, NotRunCause, Outcome, RequestNumber,
 };
 use crate::gateway::dispatch::refusal::Refusal;
-use crate::gateway::shell::attempt::{CallerRequest, Held, hold, open};
+use crate::gateway::shell::attempt::{BufferedAnswer, CallerRequest, buffer_answer, start_attempt};
 use crate::gateway::shell::dialect::AnswerKind;
 use crate::gateway::shell::events::EventSplitter;
 use crate::gateway::shell::faults::FaultKind;
@@ -35,13 +35,14 @@
 use crate::http::pool::Connection;
 use crate::http::{self, EVENT_STREAM};
 
-/// How many events wait for a slow caller before the engine is read no further.
-const EVENTS_WAITING: usize = 20;
+/// Maximum number of events that are queued for a slow caller before reading from the engine
+/// pauses.
+const MAX_QUEUED_EVENTS: usize = 20;
 
-/// A part of a stream on its way to the caller.
+/// Part of a stream that is queued for the caller.
 #[derive(Debug)]
 enum StreamPart {
-    /// A whole event.
+    /// One complete event.
     Event(Bytes),
     /// The stream is complete.
     End,
@@ -49,17 +50,17 @@
 
 type EventSender = mpsc::Sender<StreamPart>;
 
-/// Where the answer goes.
+/// Channel on which the answer is sent to the caller.
 enum Caller {
-    /// Nothing has been answered.
+    /// Nothing has been sent yet.
     Waiting(oneshot::Sender<Response<Body>>),
     /// A stream has begun.
     Streaming(EventSender),
 }
 
 impl Caller {
-    /// Waits until the caller has gone away.
-    async fn gone(&mut self) {
+    /// Waits until the caller disconnects.
+    async fn disconnected(&mut self) {
         match self {
             Self::Waiting(reply) => reply.closed().await,
             Self::Streaming(events) => events.closed().await,
@@ -67,32 +68,35 @@
     }
 }
 
-/// Why an attempt is over for this task.
+/// Reason why this task stopped working on an attempt.
 enum AttemptEnd {
-    /// It ended.
+    /// The attempt ended with this outcome.
     Ended(Outcome),
-    /// The dispatcher had it stopped.
+    /// The dispatcher stopped the attempt.
     Stopped,
-    /// The caller has gone away.
-    CallerGone,
+    /// The caller disconnected.
+    CallerDisconnected,
 }
 
-/// The task of one request.
+/// State of the task of one request.
 pub struct Exchange {
     shared: GatewayShared,
     number: RequestNumber,
     request: Arc<CallerRequest>,
     commands: mpsc::UnboundedReceiver<Command>,
     caller: Option<Caller>,
-    held: Option<Held>,
+    answer: Option<BufferedAnswer>,
+    /// Id of the last event that was forwarded, or that the caller had received before it
+    /// reconnected.
     last_event: Option<u64>,
     started: Instant,
-    /// When events were passed on last.
-    last_passed: Option<Instant>,
+    /// When events were last forwarded.
+    last_forwarded: Option<Instant>,
 }
 
 impl Exchange {
-    /// Prepares the task of a request.
+    /// Creates the task of a request. `last_event` is the last event that the caller
+    /// received before it reconnected, if any.
     #[must_use]
     pub fn new(
         shared: GatewayShared,
@@ -108,14 +112,14 @@
             request: Arc::new(request),
             commands,
             caller: Some(Caller::Waiting(reply)),
-            held: None,
+            answer: None,
             last_event,
             started: Instant::now(),
-            last_passed: None,
+            last_forwarded: None,
         }
     }
 
-    /// Serves the request to its end.
+    /// Executes the dispatcher's commands until the request ends or the caller disconnects.
     pub async fn run(mut self) {
         while let Some(command) = self.next_command().await {
             match command {
@@ -132,14 +136,14 @@
         }
     }
 
-    /// The dispatcher's next command; `None` once the caller has gone away.
+    /// Returns the dispatcher's next command, or `None` once the caller has disconnected.
     async fn next_command(&mut self) -> Option<Command> {
         let caller = self.caller.as_mut()?;
         tokio::select! {
             biased;
             command = self.commands.recv() => command,
-            () = caller.gone() => {
-                self.report_gone().await;
+            () = caller.disconnected() => {
+                self.report_disconnect().await;
                 None
             }
         }
@@ -149,16 +153,16 @@
         self.shared.send(Input::Event(event)).await;
     }
 
-    async fn report_gone(&self) {
+    async fn report_disconnect(&self) {
         self.report(Event::CallerDisconnected(self.number)).await;
     }
 
-    /// Makes one attempt; returns whether the exchange goes on.
+    /// Makes one attempt; returns whether the exchange continues.
     async fn send(&mut self, attempt: Attempt) -> bool {
         match self.attempt(&attempt).await {
             AttemptEnd::Stopped => true,
-            AttemptEnd::CallerGone => {
-                self.report_gone().await;
+            AttemptEnd::CallerDisconnected => {
+                self.report_disconnect().await;
                 false
             }
             AttemptEnd::Ended(outcome) => {
@@ -177,14 +181,14 @@
         let shared = self.shared.clone();
         let request = Arc::clone(&self.request);
         let after = self.last_event;
-        let opening = open(&shared, self.number, &request, attempt, after);
-        let (response, connection) = match self.unless_over(attempt.attempt, opening).await {
+        let opening = start_attempt(&shared, self.number, &request, attempt, after);
+        let (response, connection) = match self.run_unless_stopped(attempt.attempt, opening).await {
             Err(end) => return end,
             Ok(Err(outcome)) => return AttemptEnd::Ended(outcome),
             Ok(Ok(opened)) => opened,
         };
         let (head, body) = response.into_parts();
-        if let Some(outcome) = self.judge_head(attempt, &head).await {
+        if let Some(outcome) = self.check_head(attempt, &head).await {
             return AttemptEnd::Ended(outcome);
         }
         let is_stream = headers::text(&head.headers, header::CONTENT_TYPE)
@@ -195,10 +199,11 @@
                 attempt: attempt.attempt,
             })
             .await;
-            self.pump(attempt, &head.headers, body, connection).await
+            self.forward_stream(attempt, &head.headers, body, connection)
+                .await
         } else {
-            let reading = hold(head.status, &head.headers, body);
-            match self.unless_over(attempt.attempt, reading).await {
+            let reading = buffer_answer(head.status, &head.headers, body);
+            match self.run_unless_stopped(attempt.attempt, reading).await {
                 Err(end) => end,
                 Ok(Err(fault)) => AttemptEnd::Ended(Outcome::Broken(fault)),
                 Ok(Ok(answer)) => {
@@ -206,15 +211,15 @@
                     let outcome = Outcome::Answered {
                         status: answer.status.as_u16(),
                     };
-                    self.held = Some(answer);
+                    self.answer = Some(answer);
                     AttemptEnd::Ended(outcome)
                 }
             }
         }
     }
 
-    /// Judges the head of an answer; returns the outcome of an attempt that it ends.
-    async fn judge_head(&self, attempt: &Attempt, head: &response::Parts) -> Option<Outcome> {
+    /// Checks the head of an answer; returns the outcome if the head ends the attempt.
+    async fn check_head(&self, attempt: &Attempt, head: &response::Parts) -> Option<Outcome> {
         let outcome = match self.shared.dialect.classify_answer(head, &self.request.id) {
             AnswerKind::Foreign => return Some(Outcome::Broken(Fault::Foreign)),
             AnswerKind::Malformed => return Some(Outcome::Broken(Fault::Malformed)),
@@ -228,7 +233,8 @@
         outcome
     }
 
-    /// Tells the dispatcher what an answer says that its endpoint takes, if that is news.
+    /// Reports the request limit that an answer states to the dispatcher. An answer without one is
+    /// reported only if the endpoint has stated a limit before.
     async fn report_limit(&self, attempt: &Attempt, headers: &HeaderMap) {
         let limit = match self.shared.dialect.limit(headers) {
             Ok(limit) => limit,
@@ -247,32 +253,33 @@
         }
     }
 
-    /// Runs a part of an attempt unless the dispatcher stops it or the caller goes away.
-    async fn unless_over<T>(
+    /// Runs a step of an attempt until it completes, the dispatcher stops the attempt or the caller
+    /// disconnects.
+    async fn run_unless_stopped<T>(
         &mut self,
         attempt: AttemptNumber,
-        part: impl Future<Output = T>,
+        step: impl Future<Output = T>,
     ) -> Result<T, AttemptEnd> {
-        tokio::pin!(part);
+        tokio::pin!(step);
         loop {
             let Some(caller) = self.caller.as_mut() else {
-                return Err(AttemptEnd::CallerGone);
+                return Err(AttemptEnd::CallerDisconnected);
             };
             tokio::select! {
                 biased;
                 command = self.commands.recv() => match command {
                     Some(Command::StopAttempt(stopped)) if stopped == attempt => return Err(AttemptEnd::Stopped),
                     Some(_) => {}
-                    None => return Err(AttemptEnd::CallerGone),
+                    None => return Err(AttemptEnd::CallerDisconnected),
                 },
-                () = caller.gone() => return Err(AttemptEnd::CallerGone),
-                done = &mut part => return Ok(done),
+                () = caller.disconnected() => return Err(AttemptEnd::CallerDisconnected),
+                output = &mut step => return Ok(output),
             }
         }
     }
 
-    /// Passes a stream on until it ends.
-    async fn pump(
+    /// Forwards a stream to the caller until it ends.
+    async fn forward_stream(
         &mut self,
         attempt: &Attempt,
         headers: &HeaderMap,
@@ -281,7 +288,7 @@
     ) -> AttemptEnd {
         let mut splitter = EventSplitter::default();
         loop {
-            let frame = match self.unless_over(attempt.attempt, body.frame()).await {
+            let frame = match self.run_unless_stopped(attempt.attempt, body.frame()).await {
                 Err(end) => return end,
                 Ok(frame) => frame,
             };
@@ -301,7 +308,7 @@
                 }
             }
             if let Err(end) = self
-                .pass_events(attempt.attempt, headers, &mut splitter)
+                .forward_events(attempt.attempt, headers, &mut splitter)
                 .await
             {
                 return end;
@@ -309,8 +316,9 @@
         }
     }
 
-    /// Passes on the whole events that have come and tells of the last of them.
-    async fn pass_events(
+    /// Forwards the complete events received so far and reports the id of the last one. Events that
+    /// the caller already has are skipped; a gap in the ids makes the answer malformed.
+    async fn forward_events(
         &mut self,
         attempt: AttemptNumber,
         headers: &HeaderMap,
@@ -331,7 +339,7 @@
                     return Err(AttemptEnd::Ended(Outcome::Broken(Fault::Malformed)));
                 }
             }
-            self.pass(attempt, headers, event.bytes).await?;
+            self.forward_event(attempt, headers, event.bytes).await?;
             self.last_event = event.id.or(self.last_event);
         }
         if self.last_event != before {
@@ -346,30 +354,32 @@
         Ok(())
     }
 
-    /// Observes the time since the events before.
+    /// Observes the time since the previous events were forwarded.
     fn observe_pause(&mut self) {
         let now = Instant::now();
-        if let Some(before) = self.last_passed.replace(now) {
+        if let Some(before) = self.last_forwarded.replace(now) {
             let pause = now.duration_since(before).as_secs_f64();
             self.shared.metrics.requests.pause_seconds.observe(pause);
         }
     }
 
-    async fn pass(
+    async fn forward_event(
         &mut self,
         attempt: AttemptNumber,
         headers: &HeaderMap,
         bytes: Bytes,
     ) -> Result<(), AttemptEnd> {
-        let events = self.begin_stream(headers).ok_or(AttemptEnd::CallerGone)?;
+        let events = self
+            .begin_stream(headers)
+            .ok_or(AttemptEnd::CallerDisconnected)?;
         let sent = events.send(StreamPart::Event(bytes));
-        match self.unless_over(attempt, sent).await? {
+        match self.run_unless_stopped(attempt, sent).await? {
             Ok(()) => Ok(()),
-            Err(_) => Err(AttemptEnd::CallerGone),
+            Err(_) => Err(AttemptEnd::CallerDisconnected),
         }
     }
 
-    /// Sends the head of a stream, if that has not been done.
+    /// Sends the head of a stream unless it has been sent; returns the channel for its events.
     fn begin_stream(&mut self, headers: &HeaderMap) -> Option<EventSender> {
         if let Some(Caller::Streaming(events)) = &self.caller {
             return Some(events.clone());
@@ -382,7 +392,7 @@
             .requests
             .first_event_seconds
             .observe(self.started.elapsed().as_secs_f64());
-        let (events, received) = mpsc::channel(EVENTS_WAITING);
+        let (events, received) = mpsc::channel(MAX_QUEUED_EVENTS);
         let mut response = Response::new(Body::new(StreamBody::new(frames(received))));
         *response.headers_mut() = headers::end_to_end_headers(headers);
         response.headers_mut().remove(header::CONTENT_LENGTH);
@@ -392,11 +402,11 @@
         Some(events)
     }
 
-    /// Ends a stream whole, also one without events.
+    /// Reports the end of a stream; the head of a stream without events is sent first.
     fn end_stream(&mut self, headers: &HeaderMap) -> AttemptEnd {
         match self.begin_stream(headers) {
             Some(_) => AttemptEnd::Ended(Outcome::StreamEnded),
-            None => AttemptEnd::CallerGone,
+            None => AttemptEnd::CallerDisconnected,
         }
     }
 
@@ -407,7 +417,7 @@
     }
 
     fn deliver(mut self) {
-        let (Some(held), Some(Caller::Waiting(reply))) = (self.held.take(), self.caller.take())
+        let (Some(answer), Some(Caller::Waiting(reply))) = (self.answer.take(), self.caller.take())
         else {
             return;
         };
@@ -416,28 +426,28 @@
             .requests
             .answer_seconds
             .observe(self.started.elapsed().as_secs_f64());
-        let mut response = Response::new(http::full(held.body));
-        *response.status_mut() = held.status;
-        *response.headers_mut() = headers::end_to_end_headers(&held.headers);
+        let mut response = Response::new(http::full(answer.body));
+        *response.status_mut() = answer.status;
+        *response.headers_mut() = headers::end_to_end_headers(&answer.headers);
         response.headers_mut().remove(header::CONTENT_LENGTH);
         self.shared.mark_closing(&mut response);
         let _ = reply.send(response);
     }
 
-    /// Tells the caller that there will be no answer, or breaks a stream off so that it can't look
-    /// complete.
+    /// Sends the caller a refusal, or aborts a stream that has begun.
     fn refuse(mut self, refusal: Refusal) {
         match self.caller.take() {
             Some(Caller::Waiting(reply)) => {
                 let _ = reply.send(self.shared.refusal(&self.request.id, refusal));
             }
-            // Without its end the stream can't look complete.
+            // Dropping the channel aborts the body, so the caller can't take it for complete.
             Some(Caller::Streaming(_)) | None => {}
         }
     }
 }
 
-/// The body of a stream: it ends whole only with its end, whatever else becomes of the exchange.
+/// Returns the frames of a stream's body. The body is complete only after [`StreamPart::End`]; if
+/// the channel closes without one, it ends with an error.
 fn frames(
     received: mpsc::Receiver<StreamPart>,
 ) -> impl futures_util::Stream<Item = Result<Frame<Bytes>, std::io::Error>> {
--- a/src/gateway/shell/headers.rs
+++ b/src/gateway/shell/headers.rs
@@ -1,10 +1,10 @@
-//! Which headers are passed on, and other plain reading of heads.
+//! Helpers for HTTP heads: selects the headers that are forwarded, and reads headers and URIs.
 
 use gotham::hyper::header::{self, HeaderName};
 use gotham::hyper::{HeaderMap, Uri};
 
-/// Headers that are never passed on.
-const CONNECTION_HEADERS: [&str; 9] = [
+/// Headers that concern only one connection and are never forwarded.
+const HOP_BY_HOP_HEADERS: [&str; 9] = [
     "connection",
     "keep-alive",
     "proxy-connection",
@@ -16,28 +16,29 @@
     "upgrade",
 ];
 
-/// A header as text; one that is no visible ASCII counts as absent, since nothing here is decided
-/// by such a one.
+/// Returns a header's value as text. A value that is not visible ASCII counts as absent, because no
+/// decision depends on such a value.
 #[must_use]
 pub fn text(headers: &HeaderMap, name: impl header::AsHeaderName) -> Option<&str> {
     headers.get(name)?.to_str().ok()
 }
 
-/// The headers of a head that concern more than its connection.
+/// Returns the headers that are forwarded: all but [`HOP_BY_HOP_HEADERS`] and those named by
+/// `Connection`.
 #[must_use]
 pub fn end_to_end_headers(headers: &HeaderMap) -> HeaderMap {
     let named = named_by_connection(headers);
-    let mut passed = HeaderMap::with_capacity(headers.len());
+    let mut forwarded = HeaderMap::with_capacity(headers.len());
     for (name, value) in headers {
-        let is_listed = CONNECTION_HEADERS.contains(&name.as_str());
+        let is_listed = HOP_BY_HOP_HEADERS.contains(&name.as_str());
         if !is_listed && !named.contains(name) {
-            passed.append(name.clone(), value.clone());
+            forwarded.append(name.clone(), value.clone());
         }
     }
-    passed
+    forwarded
 }
 
-/// The headers that `Connection` names as its own.
+/// Returns the header names that `Connection` lists.
 fn named_by_connection(headers: &HeaderMap) -> Vec<HeaderName> {
     let values = headers.get_all(header::CONNECTION).iter();
     values
@@ -47,7 +48,7 @@
         .collect()
 }
 
-/// Path and query alone, byte for byte.
+/// Returns path and query of a URI, unchanged byte for byte; `/` if it has none.
 #[must_use]
 pub fn origin_form(uri: &Uri) -> Uri {
     uri.path_and_query()
--- a/src/gateway/shell/input.rs
+++ b/src/gateway/shell/input.rs
@@ -1,23 +1,23 @@
-//! The inputs of the control thread, from all other tasks.
+//! Inputs of the control thread, sent by all other tasks.
 
 use tokio::sync::mpsc;
 
 use crate::gateway::dispatch::action::Command;
 use crate::gateway::dispatch::event::{Arrival, Event, RequestNumber};
 
-/// Something for the control thread.
+/// Message to the control thread.
 pub enum Input {
-    /// An event for the dispatcher.
+    /// Passes an event to the dispatcher.
     Event(Event),
-    /// A caller's request, and where the commands for it go.
+    /// Starts a caller's request.
     Arrived {
-        /// Its number.
+        /// Number that this box has given the request.
         request: RequestNumber,
-        /// The request.
+        /// Properties of the request that decisions depend on.
         arrival: Arrival,
-        /// Where commands go.
+        /// Channel for the dispatcher's commands to the task of the request.
         commands: mpsc::UnboundedSender<Command>,
     },
-    /// The process is about to end.
+    /// Ends the control thread, after which the process exits.
     Exit,
 }
--- a/src/gateway/shell/metrics.rs
+++ b/src/gateway/shell/metrics.rs
@@ -1,7 +1,7 @@
-//! Metrics of a gateway by `prometheus`.
+//! Prometheus metrics of a gateway.
 //!
-//! What was decided is counted from the records of the decision log, so that counts and log can't
-//! part; times are observed where they pass.
+//! Decisions are counted from the records of the decision log, so that the counters and the log
+//! always agree. Durations are observed where they are measured.
 
 use prometheus::{Histogram, IntCounter, IntCounterVec, IntGauge};
 
@@ -11,8 +11,8 @@
 use crate::gateway::shell::watcher::StoreRequest;
 use crate::metrics::MetricSet;
 
-/// Upper bounds of the buckets for what callers, the store and losses take, in seconds. Around the
-/// latency objectives and longest pauses of the users' sites.
+/// Upper bounds in seconds of the buckets for the times of callers, the store and failovers. They
+/// lie around the latency objectives and the longest stream pauses that the users' sites allow.
 const CALLER_TIME_BUCKETS: [f64; 12] = [
     0.001, 0.005, 0.02, 0.06, 0.1, 0.2, 0.35, 0.7, 1.5, 4.5, 10.0, 30.0,
 ];
@@ -21,55 +21,56 @@
 #[derive(Debug)]
 pub struct GatewayMetrics {
     set: MetricSet,
-    /// What becomes of requests.
+    /// Metrics of callers' requests.
     pub requests: RequestMetrics,
     tables: TableMetrics,
-    /// Running boxes of the own failure domain that are known, this one with them.
-    pub boxes_near: IntGauge,
-    /// Running boxes of all failure domains that are known, this one with them.
+    /// Number of known running boxes in this failure domain, including this one.
+    pub boxes_local: IntGauge,
+    /// Number of known running boxes in all failure domains, including this one.
     pub boxes: IntGauge,
     endpoints: EndpointMetrics,
     store_calls: IntCounterVec,
-    /// Probes of endpoints.
+    /// Number of probes sent to endpoints.
     pub probes: IntCounter,
     rollouts: IntCounterVec,
-    /// Seconds that the platform's store took to answer, watches left out.
+    /// Response times of the platform's store in seconds, except for watches.
     pub store_seconds: Histogram,
     peer_bytes: IntCounterVec,
 }
 
-/// What becomes of requests.
+/// Metrics of callers' requests.
 #[derive(Debug)]
 pub struct RequestMetrics {
-    /// Requests that are served.
+    /// Number of requests in progress.
     pub active: IntGauge,
-    /// Requests that got no answer of an endpoint.
+    /// Number of refused requests.
     pub refused: IntCounter,
-    /// Seconds until a stream's first event.
+    /// Time from the receipt of a whole request to the first event of its stream, in seconds.
     pub first_event_seconds: Histogram,
-    /// Seconds between two events of a stream.
+    /// Time between two deliveries of events of a stream, in seconds.
     pub pause_seconds: Histogram,
-    /// Seconds until an answer that is no stream.
+    /// Time from the receipt of a whole request to its complete answer, unless that is a stream, in
+    /// seconds.
     pub answer_seconds: Histogram,
     resume_seconds: Histogram,
     refusal_seconds: Histogram,
     refusals: IntCounterVec,
-    sendings: IntCounterVec,
-    copies: IntCounterVec,
+    attempts: IntCounterVec,
+    snapshots: IntCounterVec,
     suspected: IntCounter,
 }
 
-/// What becomes of endpoints.
+/// Metrics of endpoints: stated limits, permits, restarts and crashes.
 #[derive(Debug)]
 struct EndpointMetrics {
-    limited: IntGauge,
+    stating_limit: IntGauge,
     permits: IntCounterVec,
-    reborn: IntCounter,
+    restarted: IntCounter,
     crashes: IntCounter,
     quarantined: IntCounter,
 }
 
-/// How configurations come into force.
+/// Metrics of routing tables: the version in force, fetches from peers and age.
 #[derive(Debug)]
 struct TableMetrics {
     version: IntGauge,
@@ -82,37 +83,46 @@
     fn new(set: &MetricSet) -> Self {
         let times = |name: &str, help: &str| set.times(name, help, &CALLER_TIME_BUCKETS);
         Self {
-            active: set.gauge("requests_active", "Requests that are served"),
-            refused: set.counter("refused_total", "Requests that no endpoint answered"),
+            active: set.gauge("requests_active", "Requests in progress"),
+            refused: set.counter("refused_total", "Requests that were refused"),
             first_event_seconds: times(
                 "first_event_seconds",
-                "Seconds until a stream's first event",
+                "Seconds from the receipt of a whole request to the first event of its stream",
+            ),
+            pause_seconds: times(
+                "pause_seconds",
+                "Seconds between two deliveries of events of a stream",
+            ),
+            answer_seconds: times(
+                "answer_seconds",
+                "Seconds from the receipt of a whole request to its answer, streams excluded",
             ),
-            pause_seconds: times("pause_seconds", "Seconds between two parts of a stream"),
-            answer_seconds: times("answer_seconds", "Seconds until a whole answer"),
             resume_seconds: times(
                 "resume_seconds",
-                "Seconds between two events of a stream that went on elsewhere",
+                "Seconds between the events before and after a stream moved to another endpoint",
+            ),
+            refusal_seconds: times(
+                "refusal_seconds",
+                "Seconds from the receipt of a whole request to its refusal",
             ),
-            refusal_seconds: times("refusal_seconds", "Seconds until a request was given up"),
             refusals: set.counters(
                 "refusals_total",
-                "Requests that were given up, by reason",
+                "Requests that were refused, by reason",
                 "reason",
             ),
-            sendings: set.counters(
+            attempts: set.counters(
                 "sendings_total",
-                "Sendings to endpoints: the first of a request, from a copy, or anew",
+                "Attempts at endpoints: first, resumed from a replica (copy), or repeated (anew)",
                 "kind",
             ),
-            copies: set.counters(
+            snapshots: set.counters(
                 "copies_total",
-                "Copies of runs that engines were asked for, by what came of it",
+                "Snapshots of attempts that were requested from engines, by result",
                 "result",
             ),
             suspected: set.counter(
                 "suspected_total",
-                "Runs that were left since their endpoint was silent",
+                "Attempts that were abandoned because their endpoint was unresponsive",
             ),
         }
     }
@@ -129,12 +139,12 @@
                     (1, false) => "first",
                     (_, false) => "anew",
                 };
-                self.sendings.with_label_values(&[kind]).inc();
+                self.attempts.with_label_values(&[kind]).inc();
             }
             Record::Resumed { pause_ms, .. } => self.resume_seconds.observe(seconds(*pause_ms)),
             Record::Copied { is_made, .. } => {
                 let result = if *is_made { "made" } else { "failed" };
-                self.copies.with_label_values(&[result]).inc();
+                self.snapshots.with_label_values(&[result]).inc();
             }
             Record::Suspected { .. } => self.suspected.inc(),
             Record::Refused {
@@ -152,19 +162,19 @@
     fn new(set: &MetricSet) -> Self {
         let times = |name: &str, help: &str| set.times(name, help, &CALLER_TIME_BUCKETS);
         Self {
-            version: set.gauge("table_version", "The version of the table in force"),
+            version: set.gauge("table_version", "Version of the routing table in force"),
             fetches: set.counters(
                 "table_fetches_total",
-                "Fetches of a table from a peer, by how they ended",
+                "Fetches of a routing table from a peer, by result",
                 "result",
             ),
             fetch_seconds: times(
                 "table_fetch_seconds",
-                "Seconds that fetches of a table from a peer took, failed ones included",
+                "Seconds that fetches of a routing table from a peer took, including failures",
             ),
             age_seconds: times(
                 "table_age_seconds",
-                "Seconds from the store's answer until a newer table was read by this box",
+                "Seconds from the store's answer until this box has read a newer routing table",
             ),
         }
     }
@@ -198,33 +208,30 @@
 impl EndpointMetrics {
     fn new(set: &MetricSet) -> Self {
         Self {
-            limited: set.gauge(
+            stating_limit: set.gauge(
                 "endpoints_limited",
-                "Endpoints that name a limit of requests a second, as this box knows",
+                "Endpoints known to this box that state a limit of requests per second",
             ),
             permits: set.counters(
                 "permits_total",
-                "Permits for endpoints that name a limit: dealt by this box, used by it, or wanted when it had none",
+                "Permits for limited endpoints: allocated (dealt), used, or missing (wanted)",
                 "kind",
             ),
             crashes: set.counter(
                 "crashes_total",
-                "Endpoints that ended under a request of this box.",
+                "Endpoints that crashed while they ran a request of this box",
             ),
             quarantined: set.counter(
                 "quarantined_total",
-                "Requests that were quarantined, by this box or another.",
-            ),
-            reborn: set.counter(
-                "reborn_total",
-                "Endpoints that started again under their id",
+                "Requests that were quarantined, by this box or another",
             ),
+            restarted: set.counter("reborn_total", "Endpoints that restarted under the same id"),
         }
     }
 
     fn on_record(&self, record: &Record) {
         match record {
-            Record::Reborn { .. } => self.reborn.inc(),
+            Record::Reborn { .. } => self.restarted.inc(),
             Record::Crashed { .. } => self.crashes.inc(),
             Record::Quarantined { .. } => self.quarantined.inc(),
             _ => {}
@@ -232,7 +239,8 @@
     }
 
     fn on_limits(&self, limited: usize, permits: PermitCounts) {
-        self.limited.set(i64::try_from(limited).unwrap_or(i64::MAX));
+        let stating_limit = i64::try_from(limited).unwrap_or(i64::MAX);
+        self.stating_limit.set(stating_limit);
         let kinds = [
             ("dealt", permits.allocated),
             ("used", permits.used),
@@ -245,11 +253,11 @@
 }
 
 impl GatewayMetrics {
-    /// Registers all metrics.
+    /// Creates and registers all metrics.
     ///
     /// # Panics
     ///
-    /// If two metrics have the same name, which is a mistake in this program.
+    /// If two metrics have the same name, which is a bug in this program.
     #[must_use]
     pub fn new() -> Self {
         let set = MetricSet::new("magpiemoor_gateway");
@@ -257,40 +265,40 @@
         Self {
             requests: RequestMetrics::new(&set),
             tables: TableMetrics::new(&set),
-            boxes_near: set.gauge(
+            boxes_local: set.gauge(
                 "boxes_near",
-                "Running boxes of the own failure domain that are known",
+                "Known running boxes in the failure domain of this box, including this one",
             ),
             boxes: set.gauge(
                 "boxes",
-                "Running boxes of all failure domains that are known",
+                "Known running boxes in all failure domains, including this one",
             ),
             endpoints: EndpointMetrics::new(&set),
             store_calls: set.counters(
                 "store_calls_total",
-                "Calls to the platform's store, by what was asked",
+                "Calls to the platform's store, by kind of call",
                 "kind",
             ),
-            probes: set.counter("probes_total", "Probes of endpoints"),
+            probes: set.counter("probes_total", "Probes sent to endpoints"),
             rollouts: set.counters(
                 "rollout_phases_total",
-                "Phases of roll-outs that this box entered",
+                "Phases of roll-outs that this box has entered",
                 "phase",
             ),
             store_seconds: times(
                 "store_call_seconds",
-                "Seconds until the platform's store answered, watches left out",
+                "Response times of the platform's store in seconds, except for watches",
             ),
             peer_bytes: set.counters(
                 "peer_bytes_total",
-                "Bytes that peers sent when asked, by what they were asked for",
+                "Bytes of data fetched from peers, by kind of data",
                 "kind",
             ),
             set,
         }
     }
 
-    /// Counts what a record says.
+    /// Updates the metrics that follow from a record of the decision log.
     pub fn on_record(&self, record: &Record) {
         if let Record::Rollout { phase, .. } = record {
             self.rollouts.with_label_values(&[phase]).inc();
@@ -300,12 +308,12 @@
         self.tables.on_record(record);
     }
 
-    /// Notes how many endpoints name a limit, and counts permits for them.
+    /// Sets the number of endpoints that state a limit, and adds to the counts of permits for them.
     pub fn on_limits(&self, limited: usize, permits: PermitCounts) {
         self.endpoints.on_limits(limited, permits);
     }
 
-    /// Calls to the platform's store that ask for something.
+    /// Counter of list or watch calls to the platform's store.
     #[must_use]
     pub fn store_calls_of(&self, request: &StoreRequest) -> IntCounter {
         let word = match request {
@@ -315,19 +323,19 @@
         self.store_calls.with_label_values(&[word])
     }
 
-    /// Calls to the platform's store that read what a duty keeps there.
+    /// Counter of calls that read a duty's data from the platform's store.
     #[must_use]
     pub fn store_reads(&self) -> IntCounter {
         self.store_calls.with_label_values(&["read"])
     }
 
-    /// Writing calls to the platform's store.
+    /// Counter of calls that write to the platform's store.
     #[must_use]
     pub fn store_writes(&self) -> IntCounter {
         self.store_calls.with_label_values(&["write"])
     }
 
-    /// Bytes that peers sent when asked for something.
+    /// Counter of bytes fetched from peers for one kind of data.
     #[must_use]
     pub fn peer_bytes_of(&self, kind: FetchKind) -> IntCounter {
         let word = match kind {
@@ -337,7 +345,7 @@
         self.peer_bytes.with_label_values(&[word])
     }
 
-    /// All of them, to be written out.
+    /// The registry that exports these metrics.
     #[must_use]
     pub fn set(&self) -> &MetricSet {
         &self.set
--- a/src/gateway/shell/operators.rs
+++ b/src/gateway/shell/operators.rs
@@ -1,4 +1,5 @@
-//! Answers the platform and operators: whether the box is ready, and its metrics.
+//! HTTP handler for the platform and operators: serves the readiness check and the metrics, and
+//! answers 404 to any other path.
 
 use std::panic::AssertUnwindSafe;
 use std::pin::Pin;
@@ -12,17 +13,16 @@
 use crate::gateway::shell::GatewayShared;
 use crate::http;
 
-/// The path of the metrics.
 const METRICS_PATH: &str = "/metrics";
 
-/// Answers operators.
+/// Handler of the readiness check and the metrics.
 #[derive(Clone)]
 pub struct Operators {
     shared: Arc<AssertUnwindSafe<GatewayShared>>,
 }
 
 impl Operators {
-    /// A handler for both listeners.
+    /// Creates the handler, which serves both listeners; its clones share the gateway's resources.
     #[must_use]
     pub fn new(shared: GatewayShared) -> Self {
         Self {
--- a/src/gateway/shell/shared.rs
+++ b/src/gateway/shell/shared.rs
@@ -1,5 +1,6 @@
-//! What all parts of a gateway's shell share: settings, clock, log, metrics, connections, and the
-//! state that traffic threads look at without asking the control thread.
+//! Resources shared by all parts of a gateway's shell: settings, clock, log, metrics, connections,
+//! and copies of the dispatcher's state that traffic threads read without calling the control
+//! thread.
 
 use std::io::Write;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -25,35 +26,36 @@
 use crate::listen::DaemonError;
 use crate::schema::{PackedTable, StateReply, StateRequest};
 
-/// How many connections to one endpoint are kept at rest.
-const KEPT_PER_ENDPOINT: usize = 8;
+/// Maximum number of idle connections to one endpoint.
+const MAX_IDLE_PER_ENDPOINT: usize = 8;
 
 #[derive(Debug, Default)]
 struct SharedState {
     table: RwLock<Option<Arc<RoutingTable>>>,
     is_ready: AtomicBool,
     is_stopping: AtomicBool,
-    held_bytes: AtomicUsize,
+    /// Memory reserved for request bodies that are being read, in bytes.
+    reserved_bytes: AtomicUsize,
 }
 
-/// What all parts of a gateway share.
+/// Handle to the shared resources; clones refer to the same state.
 #[derive(Clone)]
 pub struct GatewayShared {
-    /// The checked settings.
+    /// Settings that passed validation.
     pub settings: Arc<GatewaySettings>,
-    /// How the outside is spoken to.
+    /// Translation of the platform's protocols.
     pub dialect: Arc<dyn Dialect>,
-    /// This box's clock.
+    /// Monotonic clock of this process.
     pub clock: Monotonic,
-    /// The decision log.
+    /// Log of decisions, one JSON line per record.
     pub log: Arc<DecisionLog>,
-    /// The metrics.
+    /// Metrics served on the operators' listeners.
     pub metrics: Arc<GatewayMetrics>,
-    /// Faults that cost no request by themselves.
+    /// Counters and rate-limited log lines of faults that fail no request by themselves.
     pub faults: Arc<Faults>,
-    /// The way to the control thread.
+    /// Channel to the control thread.
     pub inputs: mpsc::Sender<Input>,
-    /// Connections to endpoints.
+    /// Pool of connections to endpoints.
     pub pool: Arc<Pool>,
     pub(super) closing: watch::Sender<bool>,
     watching: Arc<[watch::Sender<bool>; ObjectKind::ALL.len()]>,
@@ -62,7 +64,7 @@
     store_cache: Arc<RwLock<StoreCache>>,
 }
 
-/// Gives back the room that a body takes.
+/// Memory reserved for a request body; released when it is dropped.
 pub struct BodyReservation {
     state: Arc<SharedState>,
     bytes: usize,
@@ -71,21 +73,22 @@
 impl Drop for BodyReservation {
     fn drop(&mut self) {
         self.state
-            .held_bytes
+            .reserved_bytes
             .fetch_sub(self.bytes, Ordering::Relaxed);
     }
 }
 
 impl GatewayShared {
-    /// Starts what all parts share; the decision log goes to `log`.
+    /// Creates the shared resources and starts the writer thread of the decision log, which writes
+    /// to `log`.
     ///
     /// # Errors
     ///
-    /// If the log's thread can't be started.
+    /// If the writer thread of the log can't be started.
     ///
     /// # Panics
     ///
-    /// If two metrics have the same name, which is a mistake in this program.
+    /// If two metrics have the same name, which is a bug in this program.
     pub fn start(
         settings: GatewaySettings,
         dialect: Arc<dyn Dialect>,
@@ -102,7 +105,7 @@
             faults: Arc::new(Faults::new(metrics.set())),
             metrics: Arc::new(metrics),
             inputs,
-            pool: Arc::new(Pool::new(KEPT_PER_ENDPOINT)),
+            pool: Arc::new(Pool::new(MAX_IDLE_PER_ENDPOINT)),
             closing: watch::channel(false).0,
             watching: Arc::new(ObjectKind::ALL.map(|_| watch::channel(false).0)),
             active: watch::channel(0).0,
@@ -111,46 +114,46 @@
         })
     }
 
-    /// Writes a record and counts what it says.
+    /// Writes a record to the decision log and updates the metrics derived from it.
     pub fn record(&self, record: &Record) {
         self.metrics.on_record(record);
         self.log.write(record);
     }
 
-    /// Hands something to the control thread, waiting if it is busy.
+    /// Sends an input to the control thread; waits while its queue is full.
     pub async fn send(&self, input: Input) {
-        // It fails only when the control thread has ended, and then the process is about to.
+        // Sending fails only after the control thread has ended, and then the process exits.
         let _ = self.inputs.send(input).await;
     }
 
-    /// Whether callers can be answered.
+    /// Whether this box is ready for callers' requests; false while it stops.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.state.is_ready.load(Ordering::Relaxed) && !self.is_stopping()
     }
 
-    /// Whether the process is about to end.
+    /// Whether the process is stopping.
     #[must_use]
     pub fn is_stopping(&self) -> bool {
         self.state.is_stopping.load(Ordering::Relaxed)
     }
 
-    /// Notes that the process is about to end.
+    /// Marks the process as stopping, so that [`Self::is_ready`] returns false from now on.
     pub fn begin_stopping(&self) {
         self.state.is_stopping.store(true, Ordering::Relaxed);
     }
 
-    /// Has connections at rest closed.
+    /// Stops accepting connections and closes the idle incoming ones.
     pub fn close_idle_connections(&self) {
         self.closing.send_replace(true);
     }
 
-    /// Begins or ceases to watch a kind of objects of the platform's store.
+    /// Starts or stops watching one kind of objects in the platform's store.
     pub fn set_watching(&self, kind: ObjectKind, is_watching: bool) {
         self.watching[kind as usize].send_replace(is_watching);
     }
 
-    /// Notes how many requests are served.
+    /// Sets the number of requests in progress.
     pub fn set_active(&self, requests: usize) {
         self.metrics
             .requests
@@ -163,32 +166,32 @@
         });
     }
 
-    /// How many requests are served.
+    /// Number of requests in progress.
     #[must_use]
     pub fn active(&self) -> usize {
         *self.active.borrow()
     }
 
-    /// Waits until no request is served.
+    /// Waits until no request is in progress.
     pub async fn until_idle(&self) {
         let mut active = self.active.subscribe();
-        // It fails only when the sender is gone, and this holds one.
+        // Fails only if the sender was dropped, and `self` holds it.
         let _ = active.wait_for(|requests| *requests == 0).await;
     }
 
-    /// Waits until this box watches a kind of objects of the platform's store; returns whether that
-    /// took a while.
+    /// Waits until this box watches one kind of objects in the platform's store; returns whether it
+    /// had to wait.
     pub async fn until_watching(&self, kind: ObjectKind) -> bool {
         let mut watching = self.watching[kind as usize].subscribe();
         if *watching.borrow() {
             return false;
         }
-        // It fails only when the sender is gone, and this holds one.
+        // Fails only if the sender was dropped, and `self` holds it.
         let _ = watching.wait_for(|is_watching| *is_watching).await;
         true
     }
 
-    /// Bounds on requests, once there is a configuration.
+    /// Limits on callers' requests; `None` before the first configuration.
     #[must_use]
     pub fn limits(&self) -> Option<CallerLimits> {
         let table = self.state.table.read();
@@ -196,7 +199,7 @@
         table.as_ref().map(|t| t.limits())
     }
 
-    /// Notes the table in force.
+    /// Sets the routing table in force and whether the dispatcher is ready.
     pub fn set_table(&self, table: Option<Arc<RoutingTable>>, is_ready: bool) {
         *self
             .state
@@ -206,25 +209,34 @@
         self.state.is_ready.store(is_ready, Ordering::Relaxed);
     }
 
-    /// Reserves the room that a body may take, if there is any.
+    /// Reserves memory for a request body: its `Content-Length`, or `max_bytes` if it is sent in
+    /// chunks, and never more than `max_bytes`. Returns `None` if the limit `held_bytes` of the
+    /// settings would be exceeded.
     #[must_use]
-    pub fn reserve_body_memory(&self, headers: &HeaderMap, most: usize) -> Option<BodyReservation> {
+    pub fn reserve_body_memory(
+        &self,
+        headers: &HeaderMap,
+        max_bytes: usize,
+    ) -> Option<BodyReservation> {
         let length = headers::text(headers, header::CONTENT_LENGTH).and_then(|l| l.parse().ok());
         let has_body = headers.contains_key(header::TRANSFER_ENCODING);
-        let bytes: usize = length.unwrap_or(if has_body { most } else { 0 }).min(most);
+        let bytes: usize = length
+            .unwrap_or(if has_body { max_bytes } else { 0 })
+            .min(max_bytes);
         let state = Arc::clone(&self.state);
-        let before = state.held_bytes.fetch_add(bytes, Ordering::Relaxed);
-        let room = BodyReservation { state, bytes };
-        (before + bytes <= self.settings.held_bytes).then_some(room)
+        let before = state.reserved_bytes.fetch_add(bytes, Ordering::Relaxed);
+        let reservation = BodyReservation { state, bytes };
+        (before + bytes <= self.settings.held_bytes).then_some(reservation)
     }
 
-    /// The answer to a request for which there is no room; it has not run.
+    /// Returns the answer to a request whose body does not fit into the memory limit; the request
+    /// has not run.
     #[must_use]
     pub fn refuse_for_memory(&self, id: &str) -> Response<Body> {
         self.refusal(id, Refusal::no_room())
     }
 
-    /// The final answer to a request that no endpoint answered.
+    /// Returns the final answer to a request that is refused, and counts it.
     #[must_use]
     pub fn refusal(&self, id: &str, refusal: Refusal) -> Response<Body> {
         self.metrics.requests.refused.inc();
@@ -236,8 +248,7 @@
         response
     }
 
-    /// Tells the caller that this connection takes no further request, if the process is about to
-    /// end.
+    /// Adds `Connection: close` to a response while the process is stopping.
     pub fn mark_closing(&self, response: &mut Response<Body>) {
         if self.is_stopping() {
             let close = header::HeaderValue::from_static("close");
@@ -245,20 +256,20 @@
         }
     }
 
-    /// Keeps a configuration for peers; returns whether it is newer than the one that was kept.
+    /// Caches a configuration for peers; returns whether it is newer than the cached one.
     #[must_use]
     pub fn cache_table(&self, table: CachedTable) -> bool {
         let mut cache = self.write_cache();
-        let kept = cache.table.as_ref();
-        let is_newer = kept.is_none_or(|kept| kept.version < table.version);
+        let cached = cache.table.as_ref();
+        let is_newer = cached.is_none_or(|cached| cached.version < table.version);
         if is_newer {
             cache.table = Some(table);
         }
         is_newer
     }
 
-    /// Keeps entries of the list of endpoints for peers; returns the revision at which the list
-    /// changed last, if any of these entries has changed.
+    /// Caches entries of the endpoint list for peers; returns the store revision at which the list
+    /// changed last, or `None` if none of these entries has changed.
     #[must_use]
     pub fn cache_endpoints(&self, entries: &[Entry], is_whole: bool, at: u64) -> Option<u64> {
         let mut cache = self.write_cache();
@@ -266,11 +277,11 @@
         has_changed.then_some(cache.endpoints_at)
     }
 
-    /// What a peer asks for.
+    /// Returns the cached table and endpoint entries that are newer than a peer's.
     ///
     /// # Errors
     ///
-    /// If the list of endpoints is too long to be packed.
+    /// If the endpoint list is too long to be packed.
     pub fn state_for(&self, wanted: &StateRequest) -> std::io::Result<StateReply> {
         let cache = self
             .store_cache
@@ -279,14 +290,14 @@
         let newer = cache
             .table
             .as_ref()
-            .filter(|kept| kept.version.0 > wanted.table_after);
+            .filter(|cached| cached.version.0 > wanted.table_after);
         let (endpoints, is_whole) = cache.packed_since(wanted.endpoints_after)?;
         Ok(StateReply {
             is_busy: false,
-            table: newer.map(|kept| PackedTable {
-                age_ms: u32::try_from(kept.age().as_millis()).unwrap_or(u32::MAX),
-                text_bytes: kept.text.text_bytes,
-                packed: kept.text.bytes.to_vec(),
+            table: newer.map(|cached| PackedTable {
+                age_ms: u32::try_from(cached.age().as_millis()).unwrap_or(u32::MAX),
+                text_bytes: cached.text.text_bytes,
+                packed: cached.text.bytes.to_vec(),
             }),
             endpoints,
             endpoints_at: cache.endpoints_at,
--- a/src/gateway/shell/stop.rs
+++ b/src/gateway/shell/stop.rs
@@ -1,9 +1,10 @@
-//! How a stop goes, and settings that change while the process runs.
+//! Graceful stop on a signal, and reload of the settings that can change at run time.
 //!
-//! On SIGTERM or SIGINT the box says at once that it isn't ready, and new streams that it could not
-//! finish are refused ([`crate::gateway::dispatch`]). It goes on taking connections for
-//! [`NOTICED_AFTER`], until the balancer has noticed; then it closes those at rest, and ends when
-//! no request is served or the grace period is over.
+//! On SIGTERM or SIGINT the box reports at once that it is not ready, and
+//! [`crate::gateway::dispatch`] refuses new streams that could not finish. The box accepts
+//! connections for another [`BALANCER_NOTICE`], until the load balancer has noticed the stop. Then
+//! it accepts no more, closes idle connections, and exits once no request is in progress or the
+//! grace period is over.
 
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
@@ -16,26 +17,26 @@
 use crate::gateway::shell::GatewayShared;
 use crate::gateway::shell::input::Input;
 
-/// How long a box that is stopping still takes new connections: the users' platform takes a box out
-/// after two questions without a 200.
-const NOTICED_AFTER: Duration = Duration::from_secs(3);
-/// How long before the end of the grace period a box closes what is left, so that it isn't killed
-/// meanwhile.
-const BEFORE_KILL: Duration = Duration::from_millis(250);
-/// How long the writer of the decision log gets for its last lines.
-const LAST_LINE: Duration = Duration::from_millis(50);
-/// How long connections at rest get to close.
-const CLOSING: Duration = Duration::from_millis(100);
-/// How often the settings file is read again.
-const RELOAD: Duration = Duration::from_secs(2);
+/// Time for which a stopping box still accepts connections: the load balancer of the users'
+/// platform removes a box after two readiness checks without status 200.
+const BALANCER_NOTICE: Duration = Duration::from_secs(3);
+/// Time before the end of the grace period at which the box closes what is left, so that it exits
+/// before it is killed.
+const KILL_MARGIN: Duration = Duration::from_millis(250);
+/// Time for the decision log to write its last lines.
+const LOG_FLUSH_TIME: Duration = Duration::from_millis(50);
+/// Time for connections to close.
+const CLOSE_TIME: Duration = Duration::from_millis(100);
+/// Interval at which the settings file is read again.
+const RELOAD_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Stops the process in order once it is asked to.
+/// Waits for SIGTERM or SIGINT, then stops the process gracefully.
 pub async fn stop_on_signal(shared: GatewayShared) {
     let (Ok(mut terminate), Ok(mut interrupt)) = (
         signal(SignalKind::terminate()),
         signal(SignalKind::interrupt()),
     ) else {
-        log::warn!("signals can't be received; a stop will cut requests off");
+        log::warn!("can't handle SIGTERM and SIGINT; a stop will abort requests in progress");
         return;
     };
     tokio::select! {
@@ -45,39 +46,40 @@
     stop(&shared).await;
 }
 
-/// Takes no new connections once the balancer has noticed, and ends when all is answered.
+/// Stops the process as described at the head of this module.
 async fn stop(shared: &GatewayShared) {
-    let asked = Instant::now();
+    let requested_at = Instant::now();
     shared.begin_stopping();
-    let grace = shared.settings.stop_grace.saturating_sub(BEFORE_KILL);
+    let grace = shared.settings.stop_grace.saturating_sub(KILL_MARGIN);
     shared.send(Input::Event(Event::Stop { grace })).await;
     record(shared, "stopping", String::new());
-    tokio::time::sleep(NOTICED_AFTER.min(grace)).await;
+    tokio::time::sleep(BALANCER_NOTICE.min(grace)).await;
     shared.close_idle_connections();
-    tokio::time::sleep(CLOSING).await;
-    let left = grace.saturating_sub(asked.elapsed());
-    // What is still served at the end of the grace period is cut off.
+    tokio::time::sleep(CLOSE_TIME).await;
+    let left = grace.saturating_sub(requested_at.elapsed());
+    // Requests still in progress at the end of the grace period are aborted.
     let _ = tokio::time::timeout(left, shared.until_idle()).await;
-    tokio::time::sleep(CLOSING).await;
+    tokio::time::sleep(CLOSE_TIME).await;
     record(
         shared,
         "stopped",
-        format!("{} requests left", shared.active()),
+        format!("{} requests still in progress", shared.active()),
     );
-    tokio::time::sleep(LAST_LINE).await;
+    tokio::time::sleep(LOG_FLUSH_TIME).await;
     shared.send(Input::Exit).await;
 }
 
-/// Takes in what can change while the process runs: the seeds.
+/// Reloads the settings file at intervals and on SIGHUP, and applies the setting that can change at
+/// run time: the seeds.
 pub async fn reload_on_change(file: Option<PathBuf>, shared: GatewayShared) {
     let (Some(file), Ok(mut hangup)) = (file, signal(SignalKind::hangup())) else {
         return;
     };
     let mut seeds = shared.settings.seeds.clone();
     loop {
-        let is_asked = tokio::select! {
+        let is_requested = tokio::select! {
             _ = hangup.recv() => true,
-            () = tokio::time::sleep(RELOAD) => false,
+            () = tokio::time::sleep(RELOAD_INTERVAL) => false,
         };
         let read = match settings::read(&file) {
             Ok(read) => read,
@@ -87,7 +89,7 @@
                 continue;
             }
         };
-        if is_asked || read.seeds != seeds {
+        if is_requested || read.seeds != seeds {
             record(
                 &shared,
                 "settings_read",
