--- a/src/schema/generated.rs
+++ b/src/schema/generated.rs
@@ -1212,7 +1212,7 @@
     pub model: ModelId,
     pub prompt: ::std::string::String,
 }
-///Term of the endpoint that produces an answer; each takeover increases it.
+///Term of the box that produces an answer; each takeover increases it.
 #[derive(
     ::serde::Deserialize,
     ::serde::Serialize,
