--- a/lab/src/keyed/demo.rs
+++ b/lab/src/keyed/demo.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use gotham::hyper::{Method, StatusCode};
-use magpiemoor::cli::observe::show;
+use magpiemoor::cli::observe::format_entry;
 use magpiemoor::http::Call;
 use serde_json::{Value, json};
 
@@ -106,7 +106,7 @@
     if !quiet {
         println!("\nthe time line of the surviving boxes:");
         for entry in &events {
-            println!("  {}", show(entry));
+            println!("  {}", format_entry(entry));
         }
     }
     let held = stream["held"] == json!(true) && once["held"] == json!(true) && result;
--- a/src/backoff.rs
+++ b/src/backoff.rs
@@ -13,7 +13,7 @@
     /// The longest pause, before jitter.
     pub longest: Duration,
     /// Failures after which a pause grows no more.
-    pub most_doublings: u32,
+    pub max_doublings: u32,
     /// What a pause is multiplied with, drawn evenly.
     pub jitter: Range<f64>,
 }
@@ -21,14 +21,14 @@
 impl Backoff {
     /// The pause after a failure that came after `earlier` others in a row.
     pub fn pause(&self, earlier: u32, rng: &mut impl Rng) -> Duration {
-        doubled(self.first, earlier, self.most_doublings)
+        doubled(self.first, earlier, self.max_doublings)
             .min(self.longest)
             .mul_f64(rng.random_range(self.jitter.clone()))
     }
 }
 
-/// A time that doubles with each failure in a row, up to `most_doublings` times.
+/// A time that doubles with each failure in a row, up to `max_doublings` times.
 #[must_use]
-pub fn doubled(first: Duration, failures: u32, most_doublings: u32) -> Duration {
-    first * 2_u32.pow(failures.min(most_doublings))
+pub fn doubled(first: Duration, failures: u32, max_doublings: u32) -> Duration {
+    first * 2_u32.pow(failures.min(max_doublings))
 }
--- a/src/cli/observe.rs
+++ b/src/cli/observe.rs
@@ -92,7 +92,7 @@
         return Err(CliError::Unreachable(silent.join("\n")));
     }
     let merged = merge(lines);
-    let mut text: Vec<String> = merged.iter().map(show).collect();
+    let mut text: Vec<String> = merged.iter().map(format_entry).collect();
     text.extend(silent.iter().map(|s| format!("# not shown: {s}")));
     Ok(Output::new(
         text.join("\n"),
@@ -102,7 +102,7 @@
 
 /// One event as a line for a person.
 #[must_use]
-pub fn show(entry: &Entry) -> String {
+pub fn format_entry(entry: &Entry) -> String {
     let (millis, counter) = (entry.at.millis(), entry.at.counter());
     format!(
         "{millis}.{counter:<3} {:<12} {:<20} {} {}",
--- a/src/gateway/dispatch/fetches.rs
+++ b/src/gateway/dispatch/fetches.rs
@@ -36,7 +36,7 @@
 const FAILURE_BACKOFF: Backoff = Backoff {
     first: Duration::from_millis(20),
     longest: Duration::from_millis(160),
-    most_doublings: 3,
+    max_doublings: 3,
     jitter: 0.5..1.5,
 };
 /// Time for which a busy peer is avoided: about one transfer.
@@ -52,7 +52,7 @@
 const STORE_READ_BACKOFF: Backoff = Backoff {
     first: Duration::from_secs(1),
     longest: Duration::from_secs(8),
-    most_doublings: 3,
+    max_doublings: 3,
     jitter: 0.5..1.5,
 };
 
--- a/src/gateway/shell.rs
+++ b/src/gateway/shell.rs
@@ -140,7 +140,7 @@
     runtime.spawn(store::follow(ObjectKind::Endpoints, shared.clone()));
     runtime.spawn(store::follow(ObjectKind::Rollouts, shared.clone()));
     runtime.spawn(duties::send_time_of_day(shared.clone()));
-    runtime.spawn(pool::sweep_resting(
+    runtime.spawn(pool::sweep_idle(
         Arc::clone(&shared.pool),
         IDLE_CONNECTION_TIMEOUT,
     ));
--- a/src/gateway/shell/control.rs
+++ b/src/gateway/shell/control.rs
@@ -119,7 +119,7 @@
             Action::WatchRollouts(is_watching) => {
                 self.shared.set_watching(ObjectKind::Rollouts, is_watching);
             }
-            Action::CloseIdleConnections(address) => self.shared.pool.close_resting_at(address),
+            Action::CloseIdleConnections(address) => self.shared.pool.close_idle_at(address),
             Action::Record(record) => self.shared.record(&record),
             Action::Gossip { .. }
             | Action::GossipUsage { .. }
--- a/src/gateway/shell/quarantine.rs
+++ b/src/gateway/shell/quarantine.rs
@@ -34,7 +34,7 @@
 const QUARANTINE_CALL_BACKOFF: Backoff = Backoff {
     first: Duration::from_millis(300),
     longest: Duration::from_secs(5),
-    most_doublings: 5,
+    max_doublings: 5,
     jitter: 0.5..1.0,
 };
 /// Maximum number of calls for an object: about two minutes with [`QUARANTINE_CALL_BACKOFF`].
--- a/src/gateway/shell/store.rs
+++ b/src/gateway/shell/store.rs
@@ -219,7 +219,7 @@
             Some(kept) => kept,
             None => Pool::connect(address, STORE_CONNECT_TIMEOUT).await.ok()?,
         };
-        let answered = connection.get_while_it_comes(path, head_timeout, BODY_STALL_TIMEOUT);
+        let answered = connection.get_with_timeouts(path, head_timeout, BODY_STALL_TIMEOUT);
         let (status, body) = answered.await?;
         self.connection = Some(connection);
         Some((status, body))
--- a/src/gateway/shell/watcher.rs
+++ b/src/gateway/shell/watcher.rs
@@ -24,7 +24,7 @@
 const STORE_BACKOFF: Backoff = Backoff {
     first: Duration::from_millis(50),
     longest: Duration::from_millis(800),
-    most_doublings: 6,
+    max_doublings: 6,
     jitter: 0.5..1.0,
 };
 
--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -227,8 +227,8 @@
     }
 
     /// Closes connections that have rested for long, for as long as the future is polled.
-    pub async fn sweep_resting(self) {
-        super::pool::sweep_resting(self.pool, REUSED_WITHIN).await;
+    pub async fn sweep_idle(self) {
+        super::pool::sweep_idle(self.pool, REUSED_WITHIN).await;
     }
 }
 
--- a/src/http/pool.rs
+++ b/src/http/pool.rs
@@ -113,7 +113,7 @@
 
     /// Gets a path and reads the whole answer, whose head has to come within `head` and each further
     /// part of it within `silence`; `None` if it didn't, or if the connection broke.
-    pub async fn get_while_it_comes(
+    pub async fn get_with_timeouts(
         &mut self,
         path: &str,
         head: Duration,
@@ -167,7 +167,7 @@
 }
 
 /// Closes connections that have rested longer than `rest`, for as long as the future is polled.
-pub async fn sweep_resting(pool: Arc<Pool>, rest: Duration) {
+pub async fn sweep_idle(pool: Arc<Pool>, rest: Duration) {
     loop {
         tokio::time::sleep(rest / 2).await;
         pool.sweep(rest);
@@ -245,7 +245,7 @@
     }
 
     /// Closes the connections to an address that rest.
-    pub fn close_resting_at(&self, address: SocketAddr) {
+    pub fn close_idle_at(&self, address: SocketAddr) {
         self.lock().remove(&address);
     }
 
--- a/src/keyed/daemon.rs
+++ b/src/keyed/daemon.rs
@@ -174,7 +174,7 @@
         listeners.operators,
         operators::router(shared.clone()),
     ));
-    runtime.spawn(shared.client.clone().sweep_resting());
+    runtime.spawn(shared.client.clone().sweep_idle());
     runtime.spawn(stop_on_signal(shared.clone()));
 }
 
--- a/src/keyed/node/retries.rs
+++ b/src/keyed/node/retries.rs
@@ -23,7 +23,7 @@
 const RETRY_BACKOFF: Backoff = Backoff {
     first: Duration::from_millis(20),
     longest: Duration::from_secs(1),
-    most_doublings: 6,
+    max_doublings: 6,
     jitter: 0.5..1.5,
 };
 
