--- a/src/backoff.rs
+++ b/src/backoff.rs
@@ -1,25 +1,26 @@
-//! Pauses that grow with each failure in a row, with jitter so that boxes don't ask in step.
+//! Exponential backoff: the delay doubles with each consecutive failure. Jitter keeps boxes from
+//! retrying at the same time.
 
 use std::ops::Range;
 use std::time::Duration;
 
 use rand::Rng;
 
-/// How pauses grow.
+/// Parameters of an exponential backoff.
 #[derive(Clone, Debug)]
 pub struct Backoff {
-    /// The pause after the first failure.
+    /// The delay after the first failure, before jitter.
     pub first: Duration,
-    /// The longest pause, before jitter.
+    /// The upper bound of the delay, before jitter.
     pub longest: Duration,
-    /// Failures after which a pause grows no more.
+    /// The number of doublings after which the delay stays constant.
     pub max_doublings: u32,
-    /// What a pause is multiplied with, drawn evenly.
+    /// The factor on the delay, drawn uniformly from this range.
     pub jitter: Range<f64>,
 }
 
 impl Backoff {
-    /// The pause after a failure that came after `earlier` others in a row.
+    /// Returns the delay after a failure that follows `earlier` consecutive failures.
     pub fn pause(&self, earlier: u32, rng: &mut impl Rng) -> Duration {
         doubled(self.first, earlier, self.max_doublings)
             .min(self.longest)
@@ -27,7 +28,7 @@
     }
 }
 
-/// A time that doubles with each failure in a row, up to `max_doublings` times.
+/// Returns `first`, doubled once per consecutive failure but at most `max_doublings` times.
 #[must_use]
 pub fn doubled(first: Duration, failures: u32, max_doublings: u32) -> Duration {
     first * 2_u32.pow(failures.min(max_doublings))
--- a/src/bin/magpiemoor.rs
+++ b/src/bin/magpiemoor.rs
@@ -1,4 +1,4 @@
-//! The operators' command line.
+//! The binary of the operators' command line.
 
 use std::process::ExitCode;
 
--- a/src/bin/magpiemoord.rs
+++ b/src/bin/magpiemoord.rs
@@ -1,4 +1,4 @@
-//! The daemon of an entry box of the product's own face.
+//! The daemon of an entry box that serves the product's own API.
 
 use std::process::ExitCode;
 
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,7 +1,7 @@
 //! The operators' command line.
 //!
-//! Every command prints for a person, or with `--json` for a program, and ends with an exit code
-//! that tells what kind of failure it was.
+//! Every command prints text, or JSON with `--json`. The exit code of a failed command tells the
+//! kind of failure.
 
 pub mod args;
 pub mod bundle;
@@ -16,12 +16,12 @@
 use clap::ArgMatches;
 use serde_json::{Value, json};
 
-/// Why a command failed.
+/// The reason why a command failed.
 #[derive(Debug)]
 pub enum CliError {
-    /// What was given can't be used; all that is wrong with it.
+    /// The input is invalid; one line for each error.
     Invalid(Vec<String>),
-    /// Someone else's change stands in the way.
+    /// The change conflicts with a change by someone else.
     Conflict(String),
     /// A process or the platform can't be reached.
     Unreachable(String),
@@ -30,8 +30,8 @@
 }
 
 impl CliError {
-    /// The exit code: 2 for what can't be used, 3 for a conflict, 4 for what can't be reached, 1
-    /// for the rest.
+    /// Returns the exit code: 2 for invalid input, 3 for a conflict, 4 for a process or platform
+    /// that can't be reached, 1 for a file or I/O error.
     #[must_use]
     pub fn exit_code(&self) -> u8 {
         match self {
@@ -56,17 +56,17 @@
     }
 }
 
-/// What a command has to say.
+/// The output of a command, in both forms.
 #[derive(Debug)]
 pub struct Output {
-    /// For a person.
+    /// The text, without a final line break.
     pub text: String,
-    /// For a program.
+    /// The value printed with `--json`.
     pub value: Value,
 }
 
 impl Output {
-    /// Makes an output.
+    /// Creates an output.
     #[must_use]
     pub fn new(text: impl Into<String>, value: Value) -> Self {
         Self {
@@ -76,7 +76,7 @@
     }
 }
 
-/// Runs the command that was given and returns the process's exit code.
+/// Runs the command given by `matches`, prints its output and returns the exit code of the process.
 #[must_use]
 pub fn run(matches: &ArgMatches) -> ExitCode {
     let json = matches.get_flag("json");
@@ -111,16 +111,16 @@
         Some(("explain", sub)) => explain::run(sub),
         Some(("completions", sub)) => Ok(args::completions(sub)),
         _ => Err(CliError::Invalid(vec![
-            "no such command; see `magpiemoor --help`".to_owned(),
+            "unknown command; see `magpiemoor --help`".to_owned(),
         ])),
     }
 }
 
-/// Runs a future to its end on this thread.
+/// Runs a future to completion on this thread.
 ///
 /// # Errors
 ///
-/// The future's, or that no thread can do input and output.
+/// Fails with the error of the future, or if the I/O runtime can't be started.
 pub fn block_on<T>(future: impl Future<Output = Result<T, CliError>>) -> Result<T, CliError> {
     tokio::runtime::Builder::new_current_thread()
         .enable_all()
--- a/src/cli/args.rs
+++ b/src/cli/args.rs
@@ -1,4 +1,4 @@
-//! The commands and their options.
+//! The commands of `magpiemoor` and their options.
 
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
 use clap_complete::Shell;
@@ -6,11 +6,11 @@
 
 use crate::cli::Output;
 
-/// Builds the command line.
+/// Builds the definition of the command line.
 #[must_use]
 pub fn command() -> Command {
     Command::new("magpiemoor")
-        .about("Signs off and rolls bundles, checks settings, and shows what the boxes do")
+        .about("Signs and rolls out bundles, checks settings, and shows the state of the boxes")
         .version(clap::crate_version!())
         .subcommand_required(true)
         .arg_required_else_help(true)
@@ -25,23 +25,23 @@
         .subcommand(config())
         .subcommand(
             Command::new("timeline")
-                .about("Show the events of several boxes in one order")
+                .about("Show the events of several boxes, merged in time order")
                 .arg(boxes())
                 .arg(option(
                     "subject",
                     "TEXT",
-                    "Only events about this request, box or endpoint",
+                    "Show only events about this request, box or endpoint",
                 )),
         )
         .subcommand(
             Command::new("status")
-                .about("Show how boxes stand")
+                .about("Show the status of boxes")
                 .arg(boxes()),
         )
         .subcommand(explain())
         .subcommand(
             Command::new("completions")
-                .about("Print completions for a shell")
+                .about("Print the completion script for a shell")
                 .arg(
                     Arg::new("shell")
                         .required(true)
@@ -52,19 +52,19 @@
 
 fn explain() -> Command {
     Command::new("explain")
-        .about("Tell the story of a request from the decision logs of the boxes")
+        .about("Explain what happened to a request, from the decision logs of the boxes")
         .arg(
             Arg::new("failed")
                 .long("failed")
                 .action(ArgAction::SetTrue)
-                .help("List the requests that failed by cause; all words are then logs"),
+                .help("List the failed requests by cause; all arguments are then logs"),
         )
         .arg(
             Arg::new("streams")
                 .long("streams")
                 .action(ArgAction::SetTrue)
                 .conflicts_with("failed")
-                .help("Report how streams went over all requests; all words are then logs"),
+                .help("Report on the streams of all requests; all arguments are then logs"),
         )
         .arg(
             Arg::new("placement")
@@ -72,8 +72,8 @@
                 .action(ArgAction::SetTrue)
                 .conflicts_with_all(["failed", "streams"])
                 .help(
-                    "Report what boxes believed of endpoints when they placed attempts, and \
-                     who watched the store; all words are then logs",
+                    "Report the state that boxes assumed of endpoints when they placed attempts, \
+                     and which boxes watched the store; all arguments are then logs",
                 ),
         )
         .arg(
@@ -81,19 +81,19 @@
                 .long("rollouts")
                 .action(ArgAction::SetTrue)
                 .conflicts_with_all(["failed", "streams", "placement"])
-                .help("Tell how roll-outs went; all words are then logs"),
+                .help("Report on the roll-outs; all arguments are then logs"),
         )
         .arg(
             Arg::new("words")
                 .value_name("ID|LOG")
                 .num_args(0..)
-                .help("The request's id, then logs; without a log, standard input"),
+                .help("The id of the request, then logs; reads standard input if no log is given"),
         )
 }
 
 fn bundle() -> Command {
     Command::new("bundle")
-        .about("Check, sign and roll bundles")
+        .about("Check, sign and roll out bundles")
         .subcommand_required(true)
         .subcommand(
             Command::new("check")
@@ -102,7 +102,7 @@
         )
         .subcommand(
             Command::new("keygen")
-                .about("Make a signing key; prints the public key for trusted_keys")
+                .about("Create a signing key and print the public key for trusted_keys")
                 .arg(out("File for the private key")),
         )
         .subcommand(
@@ -115,14 +115,23 @@
         )
         .subcommand(
             Command::new("roll")
-                .about("Put a signed bundle in force; it must have a greater version than the one before")
+                .about(
+                    "Roll out a signed bundle; its version must be greater than the accepted one",
+                )
                 .arg(file("signed", "Signed bundle"))
                 .arg(platform())
-                .arg(option("key-id", "NAME", "Who rolls it").required(true)),
+                .arg(
+                    option(
+                        "key-id",
+                        "NAME",
+                        "Name of the operator's key, recorded with the roll-out",
+                    )
+                    .required(true),
+                ),
         )
         .subcommand(
             Command::new("status")
-                .about("Show which bundle is accepted, and which one each box has in force")
+                .about("Show the accepted bundle, and the bundle in force on each box")
                 .arg(platform())
                 .arg(boxes().required(false)),
         )
@@ -138,7 +147,7 @@
                 .arg(file("settings", "Settings file, JSON with comments")),
         )
         .subcommand(
-            Command::new("sample").about("Print a commented sample, which equals the defaults"),
+            Command::new("sample").about("Print a commented sample with the default values"),
         )
 }
 
@@ -170,7 +179,7 @@
         .required(true)
 }
 
-/// Prints completions for a shell.
+/// Generates the completion script for a shell.
 #[must_use]
 pub fn completions(matches: &ArgMatches) -> Output {
     let mut buf = Vec::new();
--- a/src/cli/bundle.rs
+++ b/src/cli/bundle.rs
@@ -1,4 +1,4 @@
-//! `magpiemoor bundle`: check, sign, roll and status.
+//! `magpiemoor bundle`: checks, signs and rolls out bundles, and shows which bundle is accepted.
 
 use std::path::Path;
 use std::time::Duration;
@@ -7,7 +7,7 @@
 use serde_json::json;
 
 use crate::cli::observe::{addresses, fetch_status};
-use crate::cli::platform::{Platform, Written};
+use crate::cli::platform::{Platform, WriteOutcome};
 use crate::cli::{CliError, Output, block_on};
 use crate::http::Client;
 use crate::keyed::bundle::check::parse;
@@ -18,16 +18,16 @@
 use crate::keyed::node::action::Expect;
 use crate::schema::{BundleMark, BundlePointer, KeyId, Manifest};
 
-/// How often a roll is tried.
-const ROLL_TRIES: u32 = 20;
-/// The wait between two tries.
-const ROLL_AGAIN: Duration = Duration::from_millis(200);
+/// The number of attempts to move the pointer.
+const ROLL_ATTEMPTS: u32 = 20;
+/// The delay between two attempts to move the pointer.
+const ROLL_RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// Runs one of the bundle commands.
+/// Runs a `bundle` subcommand.
 ///
 /// # Errors
 ///
-/// Whatever the command says.
+/// Fails with the error of the subcommand.
 pub fn run(matches: &ArgMatches) -> Result<Output, CliError> {
     match matches.subcommand() {
         Some(("check", sub)) => check(sub),
@@ -36,7 +36,7 @@
         Some(("roll", sub)) => block_on(roll(sub)),
         Some(("status", sub)) => block_on(status(sub)),
         _ => Err(CliError::Invalid(vec![
-            "no such command; see `magpiemoor bundle --help`".to_owned(),
+            "unknown command; see `magpiemoor bundle --help`".to_owned(),
         ])),
     }
 }
@@ -47,12 +47,12 @@
 
 fn read(path: &str) -> Result<String, CliError> {
     std::fs::read_to_string(path)
-        .map_err(|e| CliError::File(format!("{path}: {e}; name a file that can be read")))
+        .map_err(|e| CliError::File(format!("{path}: {e}; pass the path of a readable file")))
 }
 
 fn write(path: &str, content: &str) -> Result<(), CliError> {
     std::fs::write(path, content)
-        .map_err(|e| CliError::File(format!("{path}: {e}; name a file that can be written")))
+        .map_err(|e| CliError::File(format!("{path}: {e}; pass the path of a writable file")))
 }
 
 fn invalid(errors: &[BundleError]) -> CliError {
@@ -63,7 +63,7 @@
     let source = parse(&read(text(matches, "source"))?).map_err(|e| invalid(&e))?;
     let parts = split(&source).manifest.parts.len();
     let line = format!(
-        "bundle {} is good: {} models, {} organisations, {} endpoints, {parts} parts",
+        "bundle {} is valid: {} models, {} organisations, {} endpoints, {parts} parts",
         source.version,
         source.models.len(),
         source.organisations.len(),
@@ -79,7 +79,7 @@
     let path = text(matches, "out");
     if Path::new(path).exists() {
         return Err(CliError::File(format!(
-            "{path} exists; a key is never overwritten, name a new file"
+            "{path} exists; a key file is never overwritten, pass the path of a new file"
         )));
     }
     let key = new_key();
@@ -98,7 +98,7 @@
     let id = key_id(matches)?;
     let key = parse_signing_key(&read(text(matches, "key"))?).ok_or_else(|| {
         CliError::Invalid(vec![
-            "the key file must hold 64 hex digits, as `bundle keygen` writes it".to_owned(),
+            "the key file must contain 64 hex digits, as written by `bundle keygen`".to_owned(),
         ])
     })?;
     sign(&mut signed.manifest, &id, &key);
@@ -121,7 +121,7 @@
 fn key_id(matches: &ArgMatches) -> Result<KeyId, CliError> {
     text(matches, "key-id")
         .parse()
-        .map_err(|e| CliError::Invalid(vec![format!("--key-id: {e}; give a name")]))
+        .map_err(|e| CliError::Invalid(vec![format!("--key-id: {e}; pass a valid key name")]))
 }
 
 async fn roll(matches: &ArgMatches) -> Result<Output, CliError> {
@@ -141,11 +141,12 @@
     ))
 }
 
-/// Stores a signed bundle and moves the pointer to it.
+/// Stores the parts and the manifest of a signed bundle, then moves the pointer to it.
 ///
 /// # Errors
 ///
-/// A conflict if a version that is not smaller is accepted, or that the platform can't be reached.
+/// Fails with a conflict if the accepted version is the same or greater, or if the platform can't be
+/// reached.
 pub async fn roll_signed(
     platform: &Platform,
     signed: &SignedBundle,
@@ -171,41 +172,46 @@
     Ok(pointer.bundle)
 }
 
-/// Moves the pointer; an answer that was lost is settled by reading back the own mark.
+/// Moves the pointer. After a lost answer, it reads the pointer back: its own mark shows that the
+/// write succeeded.
 async fn move_pointer(platform: &Platform, pointer: &BundlePointer) -> Result<(), CliError> {
     let value = serde_json::to_string(pointer).unwrap_or_default();
-    for _ in 0..ROLL_TRIES {
+    for _ in 0..ROLL_ATTEMPTS {
         let present = platform.get(POINTER).await?;
         let expect = match &present {
             None => Expect::Absent,
             Some((version, text)) => {
-                let there: BundlePointer = serde_json::from_str(text).map_err(|e| {
+                let current: BundlePointer = serde_json::from_str(text).map_err(|e| {
                     CliError::Invalid(vec![format!("{POINTER} can't be read: {e}")])
                 })?;
-                if there.mark == pointer.mark {
+                if current.mark == pointer.mark {
                     return Ok(());
                 }
-                refuse_smaller(&there, pointer)?;
+                check_version_increases(&current, pointer)?;
                 Expect::Version(*version)
             }
         };
-        if platform.put(POINTER, expect, &value).await == Written::Yes {
+        if platform.put(POINTER, expect, &value).await == WriteOutcome::Written {
             return Ok(());
         }
-        tokio::time::sleep(ROLL_AGAIN).await;
+        tokio::time::sleep(ROLL_RETRY_DELAY).await;
     }
     Err(CliError::Unreachable(
-        "the platform takes no writes; try again when it is back".to_owned(),
+        "the platform accepted no write of the bundle pointer; try again when it is available"
+            .to_owned(),
     ))
 }
 
-fn refuse_smaller(there: &BundlePointer, pointer: &BundlePointer) -> Result<(), CliError> {
-    if there.bundle.version < pointer.bundle.version {
+fn check_version_increases(
+    current: &BundlePointer,
+    pointer: &BundlePointer,
+) -> Result<(), CliError> {
+    if current.bundle.version < pointer.bundle.version {
         return Ok(());
     }
     Err(CliError::Conflict(format!(
-        "bundle {} was accepted already, rolled by {}; give yours a greater version, sign it and roll again",
-        there.bundle.version, there.rolled_by
+        "bundle {} is already accepted, rolled out by {}; give yours a greater version, sign it and roll it out again",
+        current.bundle.version, current.rolled_by
     )))
 }
 
@@ -225,11 +231,11 @@
     let client = Client::default();
     let mut boxes = Vec::new();
     for address in addresses(matches) {
-        let at = fetch_status(&client, &address)
+        let status = fetch_status(&client, &address)
             .await
             .ok()
             .map(|s| (s.box_id, s.bundle));
-        let (name, version) = at.unwrap_or_else(|| (address.clone(), None));
+        let (name, version) = status.unwrap_or_else(|| (address.clone(), None));
         lines.push(format!(
             "{name}: {}",
             version.map_or("none".to_owned(), |v| v.to_string())
--- a/src/cli/config.rs
+++ b/src/cli/config.rs
@@ -1,4 +1,4 @@
-//! `magpiemoor config`: check settings, print the sample.
+//! `magpiemoor config`: checks a settings file and prints the sample.
 
 use std::path::Path;
 
@@ -9,20 +9,20 @@
 use crate::keyed::settings::Settings;
 use crate::settings::{SettingsError, file};
 
-/// The commented sample, which equals the defaults.
+/// The commented sample settings file, whose values equal the defaults.
 pub const SAMPLE: &str = include_str!("../../samples/magpiemoord.jsonc");
 
-/// Runs one of the config commands.
+/// Runs a `config` subcommand.
 ///
 /// # Errors
 ///
-/// All that is wrong with the settings.
+/// Fails with all errors of the settings.
 pub fn run(matches: &ArgMatches) -> Result<Output, CliError> {
     match matches.subcommand() {
         Some(("check", sub)) => check(sub),
         Some(("sample", _)) => Ok(Output::new(SAMPLE.trim_end(), json!({ "sample": SAMPLE }))),
         _ => Err(CliError::Invalid(vec![
-            "no such command; see `magpiemoor config --help`".to_owned(),
+            "unknown command; see `magpiemoor config --help`".to_owned(),
         ])),
     }
 }
@@ -37,7 +37,7 @@
             CliError::Invalid(errors.iter().map(SettingsError::to_string).collect())
         })?;
     let line = format!(
-        "{path} is good: box {} in {}",
+        "{path} is valid: box {} in {}",
         settings.box_id, settings.domain
     );
     Ok(Output::new(
--- a/src/cli/observe.rs
+++ b/src/cli/observe.rs
@@ -1,4 +1,4 @@
-//! `magpiemoor timeline` and `magpiemoor status`: what the boxes do.
+//! `magpiemoor timeline` and `magpiemoor status`: show the events and the status of boxes.
 
 use std::time::Duration;
 
@@ -12,10 +12,10 @@
 use crate::keyed::daemon::input::Status;
 use crate::keyed::timeline::{Entry, merge};
 
-/// How long a box may take to answer.
+/// The timeout for a call to a box.
 const ANSWER_LIMIT: Duration = Duration::from_secs(3);
 
-/// The boxes' addresses that were given.
+/// Returns the addresses given with `--boxes`.
 #[must_use]
 pub fn addresses(matches: &ArgMatches) -> Vec<String> {
     matches
@@ -31,7 +31,7 @@
     address: &str,
     path: &str,
 ) -> Result<T, CliError> {
-    let unreachable = |what: String| CliError::Unreachable(format!("box at {address}: {what}"));
+    let unreachable = |reason: String| CliError::Unreachable(format!("box at {address}: {reason}"));
     let call = Call::new(Method::GET, address, path);
     let answer = client
         .send(call, ANSWER_LIMIT)
@@ -39,27 +39,27 @@
         .map_err(|e| unreachable(e.to_string()))?;
     if answer.status != StatusCode::OK {
         return Err(unreachable(format!(
-            "status {}; is this the operators' address?",
+            "got HTTP status {}, expected 200; check that this is the operators' address",
             answer.status
         )));
     }
     serde_json::from_slice(&answer.body).map_err(|e| unreachable(e.to_string()))
 }
 
-/// Asks a box how it stands.
+/// Fetches the status of a box.
 ///
 /// # Errors
 ///
-/// That it can't be reached.
+/// Fails if the box can't be reached.
 pub async fn fetch_status(client: &Client, address: &str) -> Result<Status, CliError> {
     get(client, address, "/status").await
 }
 
-/// Reads a box's time line.
+/// Fetches the time line of a box, limited to one subject if it is given.
 ///
 /// # Errors
 ///
-/// That it can't be reached.
+/// Fails if the box can't be reached.
 pub async fn fetch_timeline(
     client: &Client,
     address: &str,
@@ -69,38 +69,38 @@
     get(client, address, &path).await
 }
 
-/// Shows the merged time line of several boxes; one that can't be reached is named.
+/// Shows the merged time line of several boxes, and lists the boxes that can't be reached.
 ///
 /// # Errors
 ///
-/// That none of the boxes can be reached.
+/// Fails if none of the boxes can be reached.
 pub fn timeline(matches: &ArgMatches) -> Result<Output, CliError> {
     let subject = matches.get_one::<String>("subject").map(String::as_str);
-    let mut silent = Vec::new();
+    let mut unreachable = Vec::new();
     let mut lines = Vec::new();
     block_on(async {
         let client = Client::default();
         for address in addresses(matches) {
             match fetch_timeline(&client, &address, subject).await {
                 Ok(line) => lines.push(line),
-                Err(e) => silent.push(e.to_string()),
+                Err(e) => unreachable.push(e.to_string()),
             }
         }
         Ok(())
     })?;
     if lines.is_empty() {
-        return Err(CliError::Unreachable(silent.join("\n")));
+        return Err(CliError::Unreachable(unreachable.join("\n")));
     }
     let merged = merge(lines);
     let mut text: Vec<String> = merged.iter().map(format_entry).collect();
-    text.extend(silent.iter().map(|s| format!("# not shown: {s}")));
+    text.extend(unreachable.iter().map(|s| format!("# not shown: {s}")));
     Ok(Output::new(
         text.join("\n"),
-        json!({ "events": merged, "not_shown": silent }),
+        json!({ "events": merged, "not_shown": unreachable }),
     ))
 }
 
-/// One event as a line for a person.
+/// Formats an event as a line of text.
 #[must_use]
 pub fn format_entry(entry: &Entry) -> String {
     let (millis, counter) = (entry.at.millis(), entry.at.counter());
@@ -110,36 +110,36 @@
     )
 }
 
-/// Shows how boxes stand.
+/// Shows the status of boxes, and lists the boxes that can't be reached.
 ///
 /// # Errors
 ///
-/// That none of the boxes can be reached.
+/// Fails if none of the boxes can be reached.
 pub fn status(matches: &ArgMatches) -> Result<Output, CliError> {
     let mut found = Vec::new();
-    let mut silent = Vec::new();
+    let mut unreachable = Vec::new();
     block_on(async {
         let client = Client::default();
         for address in addresses(matches) {
             match fetch_status(&client, &address).await {
                 Ok(status) => found.push(status),
-                Err(e) => silent.push(e.to_string()),
+                Err(e) => unreachable.push(e.to_string()),
             }
         }
         Ok(())
     })?;
     if found.is_empty() {
-        return Err(CliError::Unreachable(silent.join("\n")));
+        return Err(CliError::Unreachable(unreachable.join("\n")));
     }
-    let mut text: Vec<String> = found.iter().map(line_of).collect();
-    text.extend(silent.iter().map(|s| format!("# {s}")));
+    let mut text: Vec<String> = found.iter().map(format_status).collect();
+    text.extend(unreachable.iter().map(|s| format!("# {s}")));
     Ok(Output::new(
         text.join("\n"),
-        json!({ "boxes": found, "not_shown": silent }),
+        json!({ "boxes": found, "not_shown": unreachable }),
     ))
 }
 
-fn line_of(status: &Status) -> String {
+fn format_status(status: &Status) -> String {
     let bundle = status.bundle.map_or("none".to_owned(), |v| v.to_string());
     let ready = if status.ready { "ready" } else { "not ready" };
     format!(
--- a/src/cli/platform.rs
+++ b/src/cli/platform.rs
@@ -1,5 +1,5 @@
-//! The operators' commands and the platform's object API: calls are tried again for a while, since
-//! a person waits.
+//! The client of the operators' commands for the platform's object API. It retries a failed call only
+//! a few times, because a person waits for the result.
 
 use std::time::Duration;
 
@@ -10,32 +10,32 @@
 use crate::keyed::node::action::{Expect, PlatformOp};
 use crate::keyed::object_api::{ObjectApi, version_of};
 
-/// How long one call may take.
+/// The timeout for one call.
 const OPERATOR_CALL_LIMIT: Duration = Duration::from_secs(2);
-/// How often a call is tried that the platform didn't answer or asked to put off.
-const TRIES: u32 = 5;
-/// The wait between two tries.
-const TRY_AGAIN: Duration = Duration::from_millis(300);
+/// The number of attempts for a call that the platform does not answer or answers with an error.
+const OPERATOR_CALL_ATTEMPTS: u32 = 5;
+/// The delay between two attempts of a call.
+const OPERATOR_RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// What came of a write.
+/// The outcome of a write.
 #[derive(Debug, PartialEq)]
-pub enum Written {
-    /// It was made.
-    Yes,
-    /// The object was not as expected.
+pub enum WriteOutcome {
+    /// The object was written.
+    Written,
+    /// The object was not in the expected state, so nothing was written.
     Conflict,
-    /// There was no answer; it may have been made.
+    /// There was no usable answer; the object may have been written.
     Unknown,
 }
 
-/// The platform's object API.
+/// A client of the platform's object API.
 #[derive(Debug)]
 pub struct Platform {
     api: ObjectApi,
 }
 
 impl Platform {
-    /// Names the platform; no connection is made yet.
+    /// Creates a client for the platform at `address`, without connecting yet.
     #[must_use]
     pub fn new(address: &str) -> Self {
         Self {
@@ -43,25 +43,25 @@
         }
     }
 
-    fn unreachable(&self, what: &str) -> CliError {
+    fn unreachable(&self, reason: &str) -> CliError {
         CliError::Unreachable(format!(
-            "the platform at {} did not answer ({what}); try again when it is back",
+            "the platform at {} did not answer ({reason}); try again when it is available",
             self.api.address()
         ))
     }
 
-    /// Reads an object with its version.
+    /// Reads an object with its version; `None` if it doesn't exist.
     ///
     /// # Errors
     ///
-    /// That the platform can't be reached.
+    /// Fails if the platform can't be reached.
     pub async fn get(&self, name: &str) -> Result<Option<(u64, String)>, CliError> {
         let op = PlatformOp::Get {
             name: name.to_owned(),
             known: None,
         };
         let mut last = String::new();
-        for _ in 0..TRIES {
+        for _ in 0..OPERATOR_CALL_ATTEMPTS {
             match self.api.send(&op, OPERATOR_CALL_LIMIT).await {
                 Ok(answer) if answer.status == StatusCode::OK => {
                     return Ok(Some((version_of(&answer).unwrap_or(0), answer.text())));
@@ -70,35 +70,38 @@
                 Ok(answer) => last = answer.status.to_string(),
                 Err(e) => last = e.to_string(),
             }
-            tokio::time::sleep(TRY_AGAIN).await;
+            tokio::time::sleep(OPERATOR_RETRY_DELAY).await;
         }
         Err(self.unreachable(&last))
     }
 
-    /// Writes an object once.
-    pub async fn put(&self, name: &str, expect: Expect, value: &str) -> Written {
+    /// Writes an object, without retries.
+    pub async fn put(&self, name: &str, expect: Expect, value: &str) -> WriteOutcome {
         let op = PlatformOp::Put {
             name: name.to_owned(),
             expect,
             value: value.to_owned(),
         };
         match self.api.send(&op, OPERATOR_CALL_LIMIT).await {
-            Ok(answer) if answer.status.is_success() => Written::Yes,
-            Ok(answer) if answer.status == StatusCode::PRECONDITION_FAILED => Written::Conflict,
-            Ok(_) | Err(_) => Written::Unknown,
+            Ok(answer) if answer.status.is_success() => WriteOutcome::Written,
+            Ok(answer) if answer.status == StatusCode::PRECONDITION_FAILED => {
+                WriteOutcome::Conflict
+            }
+            Ok(_) | Err(_) => WriteOutcome::Unknown,
         }
     }
 
-    /// Writes an object that is named by its content, so that any earlier write was the same.
+    /// Writes an object that is named by its content, so a conflict means that the same content was
+    /// written before.
     ///
     /// # Errors
     ///
-    /// That the platform can't be reached.
+    /// Fails if the platform can't be reached.
     pub async fn put_content(&self, name: &str, value: &str) -> Result<(), CliError> {
-        for _ in 0..TRIES {
+        for _ in 0..OPERATOR_CALL_ATTEMPTS {
             match self.put(name, Expect::Absent, value).await {
-                Written::Yes | Written::Conflict => return Ok(()),
-                Written::Unknown => tokio::time::sleep(TRY_AGAIN).await,
+                WriteOutcome::Written | WriteOutcome::Conflict => return Ok(()),
+                WriteOutcome::Unknown => tokio::time::sleep(OPERATOR_RETRY_DELAY).await,
             }
         }
         Err(self.unreachable(name))
--- a/src/http.rs
+++ b/src/http.rs
@@ -1,9 +1,9 @@
-//! HTTP by `hyper`, `hyper-util` and `gotham`: one pool of connections, one client and one server
-//! for both forms of an entry box.
+//! HTTP with `hyper`, `hyper-util` and `gotham`: a connection pool, a client and a server for both
+//! kinds of entry box.
 //!
-//! [`pool`] keeps connections; [`Client`] makes the product's own calls on them; the gateway's
-//! shell uses the pool itself, since each attempt there bounds how long a connection may have
-//! rested.
+//! [`pool`] keeps outgoing connections, and [`Client`] sends the product's own calls on them. The
+//! gateway's shell uses the pool directly, because each attempt there sets its own limit on how long
+//! a reused connection may have been idle.
 
 pub mod client;
 pub mod pool;
--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -1,9 +1,9 @@
-//! A client for the product's own calls: each is one request on a connection of the pool, or on a
-//! new one.
+//! The HTTP client for the product's own calls. Each call is one request on a pooled connection or
+//! on a new one.
 //!
-//! A connection that the peer has closed while it rested is noticed before a byte of the request is
-//! written, and the request then goes on a new one; a request that may have been written is never
-//! sent again here.
+//! If the peer has closed a pooled connection while it was idle, the client notices before it writes
+//! a byte of the request, and uses a new connection. The client never resends a request that may
+//! have been written.
 
 use std::net::SocketAddr;
 use std::pin::Pin;
@@ -18,23 +18,24 @@
 
 use super::pool::{Connection, Pool, SendError};
 
-/// How long a connection attempt may take.
+/// The timeout for connecting.
 const CALL_CONNECT_LIMIT: Duration = Duration::from_millis(500);
-/// How long a connection may have rested that is used again.
-const REUSED_WITHIN: Duration = Duration::from_secs(20);
-/// How many connections to one address are kept at rest: about as many as an engine has streams.
-const KEPT_PER_ADDRESS: usize = 256;
-/// The greatest answer that is read whole, in bytes: a part of a bundle is a megabyte at the most.
+/// The longest time that a connection may have been idle to be reused.
+const REUSE_IDLE_LIMIT: Duration = Duration::from_secs(20);
+/// The number of idle connections kept per address: about as many as an engine has streams.
+const MAX_IDLE_PER_ADDRESS: usize = 256;
+/// The largest answer body that [`Client::send`] reads, in bytes; the largest one expected is a part
+/// of a bundle, at most 1 MB.
 const MAX_ANSWER: usize = 16 << 20;
 
-/// Why an HTTP call failed.
+/// The reason why an HTTP call failed.
 #[derive(Debug)]
 pub enum HttpError {
-    /// No connection could be made, so no byte of the request was sent.
+    /// No connection was established, so no byte of the request was sent.
     Connect(String),
     /// The connection broke after the request may have been sent.
     Broken(String),
-    /// No answer came in time; the request may have been sent.
+    /// The answer did not arrive within the timeout; the request may have been sent.
     TimedOut,
     /// The request could not be built.
     BadRequest(String),
@@ -48,7 +49,7 @@
                 "no connection: {e}; check the address and that the process runs"
             ),
             Self::Broken(e) => write!(f, "connection broke: {e}; try again"),
-            Self::TimedOut => write!(f, "no answer in time; try again"),
+            Self::TimedOut => write!(f, "no answer within the timeout; try again"),
             Self::BadRequest(e) => write!(f, "request can't be built: {e}; check the address"),
         }
     }
@@ -56,32 +57,32 @@
 
 impl std::error::Error for HttpError {}
 
-/// An answer that was read whole.
+/// An answer whose body has been read completely.
 #[derive(Clone, Debug)]
 pub struct Answer {
-    /// The status.
+    /// The HTTP status.
     pub status: StatusCode,
-    /// The headers.
+    /// All header fields of the answer.
     pub headers: gotham::hyper::HeaderMap,
-    /// The body.
+    /// The complete body.
     pub body: Bytes,
 }
 
 impl Answer {
-    /// The body as text.
+    /// Returns the body as text; invalid UTF-8 is replaced.
     #[must_use]
     pub fn text(&self) -> String {
         String::from_utf8_lossy(&self.body).into_owned()
     }
 
-    /// A header as text.
+    /// Returns a header as text; `None` if it is missing or isn't visible ASCII.
     #[must_use]
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
     }
 }
 
-/// A client that keeps connections for reuse; clones share them.
+/// A client with a connection pool; clones share the pool.
 #[derive(Clone, Debug)]
 pub struct Client {
     pool: Arc<Pool>,
@@ -90,28 +91,28 @@
 impl Default for Client {
     fn default() -> Self {
         Self {
-            pool: Arc::new(Pool::new(KEPT_PER_ADDRESS)),
+            pool: Arc::new(Pool::new(MAX_IDLE_PER_ADDRESS)),
         }
     }
 }
 
-/// A request to be sent.
+/// An HTTP request to be sent.
 #[derive(Clone, Debug)]
 pub struct Call<'a> {
-    /// The method.
+    /// The HTTP method.
     pub method: Method,
-    /// IP number and port.
+    /// The target as `HOST:PORT`; also sent as the `Host` header.
     pub address: &'a str,
-    /// Path and query.
+    /// The path with the query.
     pub path: &'a str,
-    /// Headers.
+    /// Headers in addition to `Host`.
     pub headers: Vec<(&'static str, String)>,
-    /// The body.
+    /// The body; may be empty.
     pub body: Bytes,
 }
 
 impl<'a> Call<'a> {
-    /// A request without headers or body.
+    /// Creates a request without headers or body.
     #[must_use]
     pub fn new(method: Method, address: &'a str, path: &'a str) -> Self {
         Self {
@@ -152,11 +153,12 @@
 }
 
 impl Client {
-    /// Sends a request and returns the answer's head with a body that is still to be read.
+    /// Sends a request and returns the answer as soon as its head has arrived; the caller reads the
+    /// body.
     ///
     /// # Errors
     ///
-    /// Tells a connection that could not be made from one that broke.
+    /// Fails with the reason; [`HttpError::Connect`] means that the request was not sent.
     pub async fn open(
         &self,
         call: Call<'_>,
@@ -175,10 +177,10 @@
         request: Request<Full<Bytes>>,
     ) -> Result<Response<AnswerBody>, HttpError> {
         let address = resolve(address).await?;
-        if let Some(mut rested) = self.pool.take(address, REUSED_WITHIN) {
-            match rested.send(request.clone()).await {
-                Ok(response) => return Ok(self.keep(response, rested)),
-                // The peer had closed it; no byte was written.
+        if let Some(mut pooled) = self.pool.take(address, REUSE_IDLE_LIMIT) {
+            match pooled.send(request.clone()).await {
+                Ok(response) => return Ok(self.with_connection(response, pooled)),
+                // The peer closed the connection while it was idle; no byte was written.
                 Err(SendError::NotSent) => {}
                 Err(e) => return Err(HttpError::Broken(e.to_string())),
             }
@@ -187,13 +189,17 @@
             .await
             .map_err(|e| HttpError::Connect(e.to_string()))?;
         match fresh.send(request).await {
-            Ok(response) => Ok(self.keep(response, fresh)),
+            Ok(response) => Ok(self.with_connection(response, fresh)),
             Err(SendError::NotSent) => Err(HttpError::Connect(SendError::NotSent.to_string())),
             Err(e) => Err(HttpError::Broken(e.to_string())),
         }
     }
 
-    fn keep(&self, response: Response<Incoming>, connection: Connection) -> Response<AnswerBody> {
+    fn with_connection(
+        &self,
+        response: Response<Incoming>,
+        connection: Connection,
+    ) -> Response<AnswerBody> {
         response.map(|body| AnswerBody {
             body,
             connection: Some(connection),
@@ -201,13 +207,13 @@
         })
     }
 
-    /// Sends a request and reads the whole answer.
+    /// Sends a request and reads the complete answer within `limit`.
     ///
     /// # Errors
     ///
-    /// As for [`Client::open`]; an answer that is too long counts as broken.
+    /// Fails like [`Client::open`]; an answer longer than [`MAX_ANSWER`] is [`HttpError::Broken`].
     pub async fn send(&self, call: Call<'_>, limit: Duration) -> Result<Answer, HttpError> {
-        let whole = async {
+        let exchange = async {
             let response = self.open(call, limit).await?;
             let (head, body) = response.into_parts();
             let body = Limited::new(body, MAX_ANSWER);
@@ -221,14 +227,14 @@
                 body: body.to_bytes(),
             })
         };
-        tokio::time::timeout(limit, whole)
+        tokio::time::timeout(limit, exchange)
             .await
             .unwrap_or(Err(HttpError::TimedOut))
     }
 
-    /// Closes connections that have rested for long, for as long as the future is polled.
+    /// Closes connections that have been idle for too long to be reused. Never completes.
     pub async fn sweep_idle(self) {
-        super::pool::sweep_idle(self.pool, REUSED_WITHIN).await;
+        super::pool::sweep_idle(self.pool, REUSE_IDLE_LIMIT).await;
     }
 }
 
@@ -241,8 +247,8 @@
         .ok_or_else(|| HttpError::Connect(format!("{address} has no IP number")))
 }
 
-/// The body of an answer; its connection goes back to the pool once it was read whole, and is
-/// closed if it was not.
+/// The body of an answer. Its connection returns to the pool once the body has been read completely;
+/// if the body is dropped before, the connection is closed.
 #[derive(Debug)]
 pub struct AnswerBody {
     body: Incoming,
--- a/src/http/pool.rs
+++ b/src/http/pool.rs
@@ -1,7 +1,8 @@
-//! Outgoing connections, by hyper: one request at a time each, kept for reuse.
+//! A pool of outgoing HTTP/1.1 connections. Each connection carries one request at a time and is
+//! reused.
 //!
-//! A connection goes back only after a whole answer; one that broke off, was given up, or got
-//! bytes that belong to no request is closed.
+//! A connection returns to the pool only after a complete answer. The pool closes a connection whose
+//! answer was cut short or abandoned, and one that received bytes which belong to no request.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -20,63 +21,63 @@
 use tokio::net::TcpStream;
 use tokio::task::AbortHandle;
 
-/// How long a connection may be without a word of its peer before it is probed.
+/// The idle time after which TCP sends the first keepalive probe.
 const KEEPALIVE_IDLE: Duration = Duration::from_secs(1);
-/// Time between such probes.
+/// The time between keepalive probes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
-/// How many probes go unanswered before a connection counts as lost.
+/// The number of unanswered probes after which a connection is considered lost.
 const KEEPALIVE_PROBES: u32 = 2;
-/// How long bytes may go without an acknowledgement.
+/// The longest time that sent bytes may remain unacknowledged (`TCP_USER_TIMEOUT`).
 const UNACKNOWLEDGED_LIMIT: Duration = Duration::from_millis(1_500);
 
-/// Lets the system notice a peer that is cut off or without power.
-fn keep_probing(socket: &tokio::net::TcpStream) {
+/// Makes the operating system detect a peer that is unreachable or without power.
+fn enable_keepalive(socket: &tokio::net::TcpStream) {
     let socket = socket2::SockRef::from(socket);
     let keepalive = socket2::TcpKeepalive::new()
         .with_time(KEEPALIVE_IDLE)
         .with_interval(KEEPALIVE_INTERVAL)
         .with_retries(KEEPALIVE_PROBES);
-    // Without these a lost peer is noticed later; nothing else depends on them.
+    // Errors are ignored: without these options a lost peer is only detected later.
     let _ = socket.set_tcp_keepalive(&keepalive);
     let _ = socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_LIMIT));
 }
 
-/// Ends a connection's task, and so closes it, when it is dropped.
+/// Aborts the task that drives a connection, and so closes the connection, when dropped.
 #[derive(Debug)]
-struct Closing(AbortHandle);
+struct AbortOnDrop(AbortHandle);
 
-impl Drop for Closing {
+impl Drop for AbortOnDrop {
     fn drop(&mut self) {
         self.0.abort();
     }
 }
 
-/// A connection to an endpoint, a box or the platform.
+/// An open connection to an endpoint, a box or the platform.
 #[derive(Debug)]
 pub struct Connection {
     address: SocketAddr,
     sender: SendRequest<Full<Bytes>>,
-    rested_since: Instant,
-    _closing: Closing,
+    idle_since: Instant,
+    _task: AbortOnDrop,
 }
 
-/// Why a request got no answer's head.
+/// The reason why a request did not get the head of an answer.
 #[derive(Debug)]
 pub enum SendError {
-    /// No byte of it was sent.
+    /// No byte of the request was sent.
     NotSent,
-    /// It may have been sent.
+    /// The connection broke; the request may have been sent.
     Broken,
-    /// What came back is no answer.
+    /// The peer's bytes are not a valid HTTP answer.
     Malformed,
 }
 
 impl fmt::Display for SendError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::NotSent => "no connection, so nothing was sent",
+            Self::NotSent => "no connection; no byte of the request was sent",
             Self::Broken => "the connection broke",
-            Self::Malformed => "what came back is no HTTP answer",
+            Self::Malformed => "the answer is not valid HTTP",
         })
     }
 }
@@ -84,11 +85,11 @@
 impl std::error::Error for SendError {}
 
 impl Connection {
-    /// Sends a request and waits for the answer's head.
+    /// Sends a request and waits for the head of the answer.
     ///
     /// # Errors
     ///
-    /// Tells a request that was never sent from one that may have been.
+    /// Distinguishes a request that was not sent from one that may have been sent.
     pub async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -105,25 +106,28 @@
         }
     }
 
-    /// Gets a path and reads the whole answer; `None` if the connection broke.
+    /// Sends a GET request and reads the complete answer; `None` if the connection broke.
     pub async fn get(&mut self, path: &str) -> Option<(StatusCode, Bytes)> {
         let (head, body) = self.get_with_head(path).await?;
         Some((head.status, body))
     }
 
-    /// Gets a path and reads the whole answer, whose head has to come within `head` and each further
-    /// part of it within `silence`; `None` if it didn't, or if the connection broke.
+    /// Sends a GET request and reads the complete answer; `None` if the head takes longer than
+    /// `head_timeout`, if the body makes no progress for `stall_timeout`, or if the connection broke.
     pub async fn get_with_timeouts(
         &mut self,
         path: &str,
-        head: Duration,
-        silence: Duration,
+        head_timeout: Duration,
+        stall_timeout: Duration,
     ) -> Option<(StatusCode, Bytes)> {
-        let request = self.with_host(request_to_get(path)?)?;
-        let response = tokio::time::timeout(head, self.send(request)).await;
+        let request = self.with_host(get_request(path)?)?;
+        let response = tokio::time::timeout(head_timeout, self.send(request)).await;
         let (parts, mut body) = response.ok()?.ok()?.into_parts();
         let mut bytes = BytesMut::new();
-        while let Some(frame) = tokio::time::timeout(silence, body.frame()).await.ok()? {
+        while let Some(frame) = tokio::time::timeout(stall_timeout, body.frame())
+            .await
+            .ok()?
+        {
             if let Ok(data) = frame.ok()?.into_data() {
                 bytes.extend_from_slice(&data);
             }
@@ -131,12 +135,14 @@
         Some((parts.status, bytes.freeze()))
     }
 
-    /// Gets a path and reads the whole answer with its head; `None` if the connection broke.
+    /// Sends a GET request and returns the head and the complete body of the answer; `None` if the
+    /// connection broke.
     pub async fn get_with_head(&mut self, path: &str) -> Option<(response::Parts, Bytes)> {
-        self.exchange(request_to_get(path)?).await
+        self.exchange(get_request(path)?).await
     }
 
-    /// Sends a request and reads the whole answer; `None` if the connection broke.
+    /// Sends a request, with `Host` set to the address of the connection, and reads the complete
+    /// answer; `None` if the connection broke.
     pub async fn exchange(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -154,111 +160,114 @@
         Some(request)
     }
 
-    /// Whether the next request can be sent at once.
+    /// Returns whether the connection is open and can send a request immediately.
     fn is_ready(&mut self) -> bool {
         !self.sender.is_closed() && matches!(self.sender.ready().now_or_never(), Some(Ok(())))
     }
 }
 
-fn request_to_get(path: &str) -> Option<Request<Full<Bytes>>> {
+fn get_request(path: &str) -> Option<Request<Full<Bytes>>> {
     let mut request = Request::new(Full::new(Bytes::new()));
     *request.uri_mut() = path.parse().ok()?;
     Some(request)
 }
 
-/// Closes connections that have rested longer than `rest`, for as long as the future is polled.
-pub async fn sweep_idle(pool: Arc<Pool>, rest: Duration) {
+/// Periodically closes the pooled connections that have been idle longer than `max_idle`. Never
+/// completes.
+pub async fn sweep_idle(pool: Arc<Pool>, max_idle: Duration) {
     loop {
-        tokio::time::sleep(rest / 2).await;
-        pool.sweep(rest);
+        tokio::time::sleep(max_idle / 2).await;
+        pool.sweep(max_idle);
     }
 }
 
-/// Connections at rest.
+/// Idle connections by address.
 #[derive(Debug)]
 pub struct Pool {
-    kept_per_address: usize,
-    resting: Mutex<HashMap<SocketAddr, Vec<Connection>>>,
+    max_idle_per_address: usize,
+    idle: Mutex<HashMap<SocketAddr, Vec<Connection>>>,
 }
 
 impl Pool {
-    /// An empty pool that keeps so many connections to one address at rest.
+    /// Creates an empty pool that keeps at most `max_idle_per_address` idle connections per address.
     #[must_use]
-    pub fn new(kept_per_address: usize) -> Self {
+    pub fn new(max_idle_per_address: usize) -> Self {
         Self {
-            kept_per_address,
-            resting: Mutex::default(),
+            max_idle_per_address,
+            idle: Mutex::default(),
         }
     }
 
-    /// Takes a connection that has rested no longer than `rest`.
-    pub fn take(&self, address: SocketAddr, rest: Duration) -> Option<Connection> {
-        let mut resting = self.lock();
-        let of_address = resting.get_mut(&address)?;
+    /// Takes a usable connection that has been idle no longer than `max_idle`. Closes the unusable
+    /// ones that it encounters.
+    pub fn take(&self, address: SocketAddr, max_idle: Duration) -> Option<Connection> {
+        let mut idle = self.lock();
+        let of_address = idle.get_mut(&address)?;
         while let Some(mut connection) = of_address.pop() {
-            if connection.rested_since.elapsed() <= rest && connection.is_ready() {
+            if connection.idle_since.elapsed() <= max_idle && connection.is_ready() {
                 return Some(connection);
             }
         }
         None
     }
 
-    /// Makes a new connection.
+    /// Opens a new connection.
     ///
     /// # Errors
     ///
-    /// If none can be made within `limit`.
+    /// Fails with [`SendError::NotSent`] if the connection is not established within `limit`.
     pub async fn connect(address: SocketAddr, limit: Duration) -> Result<Connection, SendError> {
         let socket = tokio::time::timeout(limit, TcpStream::connect(address))
             .await
             .map_err(|_| SendError::NotSent)?
             .map_err(|_| SendError::NotSent)?;
         let _ = socket.set_nodelay(true);
-        keep_probing(&socket);
+        enable_keepalive(&socket);
         let (sender, connection) = http1::Builder::new()
             .handshake(TokioIo::new(socket))
             .await
             .map_err(|_| SendError::NotSent)?;
         let task = tokio::spawn(async move {
-            // What ends a connection is seen by the request on it.
+            // The request in flight reports the error that ends the connection.
             let _ = connection.await;
         });
         Ok(Connection {
             address,
             sender,
-            rested_since: Instant::now(),
-            _closing: Closing(task.abort_handle()),
+            idle_since: Instant::now(),
+            _task: AbortOnDrop(task.abort_handle()),
         })
     }
 
-    /// Keeps a connection for reuse after a whole answer.
+    /// Returns a connection to the pool. The caller has read a complete answer from it. If the pool
+    /// is full for this address, the connection is closed.
     pub fn put_back(&self, mut connection: Connection) {
         if connection.sender.is_closed() {
             return;
         }
-        connection.rested_since = Instant::now();
-        let mut resting = self.lock();
-        let of_address = resting.entry(connection.address).or_default();
-        if of_address.len() < self.kept_per_address {
+        connection.idle_since = Instant::now();
+        let mut idle = self.lock();
+        let of_address = idle.entry(connection.address).or_default();
+        if of_address.len() < self.max_idle_per_address {
             of_address.push(connection);
         }
     }
 
-    /// Closes the connections to an address that rest.
+    /// Closes all idle connections to an address.
     pub fn close_idle_at(&self, address: SocketAddr) {
         self.lock().remove(&address);
     }
 
-    /// Closes connections that have rested longer than `rest`.
-    pub fn sweep(&self, rest: Duration) {
+    /// Closes the connections that have been idle longer than `max_idle`, and those the peer closed.
+    pub fn sweep(&self, max_idle: Duration) {
         self.lock().retain(|_, connections| {
-            connections.retain(|c| c.rested_since.elapsed() <= rest && !c.sender.is_closed());
+            connections.retain(|c| c.idle_since.elapsed() <= max_idle && !c.sender.is_closed());
             !connections.is_empty()
         });
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, HashMap<SocketAddr, Vec<Connection>>> {
-        self.resting
+        self.idle
             .lock()
             .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -1,5 +1,5 @@
-//! The HTTP server of all of the product's listeners: bounded connections, bounded heads, and an
-//! end that lets running requests be answered.
+//! The HTTP server behind every listener of the product. It bounds the number of connections and the
+//! size of request heads, and its graceful shutdown completes the requests in progress.
 
 use std::convert::Infallible;
 use std::io;
@@ -21,40 +21,39 @@
 use tokio::net::TcpListener;
 use tokio::sync::{Semaphore, watch};
 
-/// How long a caller may take to send its request's head, where no setting says.
+/// The default timeout for receiving the head of a request.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
-/// The greatest head of a request in bytes, where no setting says.
+/// The default limit on the head of a request, in bytes.
 const HEAD_BYTES: usize = 64 << 10;
-/// The least bound on a head that the HTTP library takes, in bytes.
+/// The smallest limit on a head that the HTTP library accepts, in bytes.
 const LEAST_HEAD_BYTES: usize = 8 << 10;
-/// How long a caller may take to send its request's body.
+/// The timeout for receiving the body of a request.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 /// The media type of server-sent events.
 pub const EVENT_STREAM: &str = "text/event-stream";
-/// How many connections one listener serves at once.
+/// The number of connections that one listener serves concurrently.
 const MAX_CONNECTIONS: usize = 8_192;
-/// The pause after a connection could not be accepted, for which the reason is mostly a lack of
-/// descriptors.
+/// The delay after a failed `accept`, mostly caused by a lack of file descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
 
-/// Why a request's body could not be read.
+/// The reason why the body of a request could not be read.
 #[derive(Debug, PartialEq)]
 pub enum BodyError {
-    /// It is longer than allowed.
+    /// The body is longer than allowed.
     TooLong,
-    /// It did not come in time.
+    /// The body did not arrive within [`BODY_TIMEOUT`].
     TooSlow,
-    /// The connection broke.
+    /// The connection broke before the end of the body.
     Broken,
 }
 
-/// Reads a request's body, up to `most` bytes.
+/// Reads the body of a request, up to `max_bytes`.
 ///
 /// # Errors
 ///
-/// Says whether the body was too long, too slow, or broke off.
-pub async fn read_body(body: Body, most: usize) -> Result<Bytes, BodyError> {
-    let limited = Limited::new(body, most);
+/// Fails if the body is too long, too slow, or cut short.
+pub async fn read_body(body: Body, max_bytes: usize) -> Result<Bytes, BodyError> {
+    let limited = Limited::new(body, max_bytes);
     match tokio::time::timeout(BODY_TIMEOUT, limited.collect()).await {
         Err(_) => Err(BodyError::TooSlow),
         Ok(Ok(body)) => Ok(body.to_bytes()),
@@ -63,13 +62,13 @@
     }
 }
 
-/// A body that is sent whole.
+/// Builds a body that is sent at once, with a known length.
 #[must_use]
 pub fn full(body: impl Into<Bytes>) -> Body {
     Body::new(Full::new(body.into()).map_err(|e: Infallible| match e {}))
 }
 
-/// A body that is sent as it comes.
+/// Builds a body that is sent chunk by chunk, as the stream yields it.
 #[must_use]
 pub fn streaming(chunks: impl Stream<Item = Bytes> + Send + 'static) -> Body {
     use futures_util::StreamExt;
@@ -82,7 +81,7 @@
 ///
 /// # Panics
 ///
-/// If the status or content type can't be a response's, which is a mistake in this program.
+/// Panics if the content type is not a valid header value, which is a bug in this program.
 #[must_use]
 pub fn respond(status: StatusCode, content_type: &str, body: Body) -> Response<Body> {
     Response::builder()
@@ -99,14 +98,14 @@
     respond(status, "application/json", full(text))
 }
 
-/// How connections are served.
+/// Options for serving a connection.
 #[derive(Clone, Debug)]
 pub struct ServeOptions {
-    /// How long a connection may take for a request's head, its rest before it with it.
+    /// The timeout for receiving the head of a request, including the idle time before it.
     pub head_timeout: Duration,
-    /// The greatest head of a request in bytes.
+    /// The limit on the head of a request, in bytes; raised to 8 KiB if smaller.
     pub head_bytes: usize,
-    /// Turns true once connections at rest are to be closed.
+    /// Becomes true when the server has to stop accepting connections and close the idle ones.
     pub closing: watch::Receiver<bool>,
 }
 
@@ -120,7 +119,7 @@
     }
 }
 
-/// Serves HTTP on a listener by a gotham handler, for as long as the future is polled.
+/// Serves HTTP on a listener with a gotham handler. Never completes.
 pub async fn serve<H>(listener: TcpListener, handler: H)
 where
     H: NewHandler + 'static,
@@ -128,9 +127,10 @@
     serve_with(listener, handler, ServeOptions::default).await;
 }
 
-/// Serves HTTP like [`serve`], with options that are asked for at each new connection.
+/// Serves HTTP like [`serve`], with options evaluated for each new connection.
 ///
-/// Ends, and so refuses new connections, once those at rest are to be closed.
+/// Completes, and so drops the listener, once [`ServeOptions::closing`] is true. Connections in
+/// progress continue in tasks of their own until their current request is answered.
 pub async fn serve_with<H>(listener: TcpListener, handler: H, options: impl Fn() -> ServeOptions)
 where
     H: NewHandler + 'static,
@@ -138,7 +138,7 @@
     let mut closing = options().closing;
     tokio::select! {
         () = accept_all(listener, handler, options) => {}
-        () = becomes_true(&mut closing) => {}
+        () = wait_until_true(&mut closing) => {}
     }
 }
 
@@ -147,13 +147,13 @@
     H: NewHandler + 'static,
 {
     let handler = Arc::new(handler);
-    let room = Arc::new(Semaphore::new(MAX_CONNECTIONS));
+    let connections = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     loop {
-        let Ok(permit) = Arc::clone(&room).acquire_owned().await else {
+        let Ok(permit) = Arc::clone(&connections).acquire_owned().await else {
             return;
         };
         let Ok((socket, client)) = listener.accept().await else {
-            // Out of descriptors, most likely; those in use will be freed.
+            // The process is most likely out of file descriptors, which free up as connections end.
             tokio::time::sleep(ACCEPT_PAUSE).await;
             continue;
         };
@@ -185,17 +185,17 @@
         .max_buf_size(options.head_bytes.max(LEAST_HEAD_BYTES))
         .serve_connection(TokioIo::new(socket), service);
     tokio::pin!(served);
-    // A caller that breaks off is no fault of this process.
+    // A connection error is ignored: it means that the caller disconnected.
     tokio::select! {
         _ = served.as_mut() => return,
-        () = becomes_true(&mut options.closing) => {}
+        () = wait_until_true(&mut options.closing) => {}
     }
     served.as_mut().graceful_shutdown();
     let _ = served.await;
 }
 
-/// Waits until a flag is set; for ever if nobody can set it any more.
-async fn becomes_true(flag: &mut watch::Receiver<bool>) {
+/// Waits until a flag is true; forever if its sender has been dropped.
+async fn wait_until_true(flag: &mut watch::Receiver<bool>) {
     if flag.wait_for(|is_set| *is_set).await.is_err() {
         std::future::pending::<()>().await;
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,12 +1,13 @@
 //! Magpiemoor serves long model generations on engines that fail without warning.
 //!
-//! The crate is a library with thin programs. It holds two forms of an entry box, which share what
-//! stands beside them here and nothing of each other: [`gateway`] runs on the users' machines,
-//! where a request belongs to the box that reads it; [`keyed`] is the product's own face, where a
-//! request is known by a key. [`cli`] is what operators run. docs/ARCHITECTURE.md shows the whole.
+//! The crate is a library; the binaries only call into it. It contains two kinds of entry box,
+//! which share the other modules of this crate but no code of each other: [`gateway`] runs on the
+//! users' machines, where a request belongs to the box that receives it; [`keyed`] is the product's
+//! own API, where a key identifies a request. [`cli`] is the operators' command line.
+//! docs/ARCHITECTURE.md describes the whole system.
 
-// Heads of modules name the private constants that they explain; `--document-private-items` follows
-// the links.
+// Module documentation links to the private constants that it explains;
+// `--document-private-items` resolves these links.
 #![allow(rustdoc::private_intra_doc_links)]
 
 pub mod backoff;
--- a/src/listen.rs
+++ b/src/listen.rs
@@ -1,23 +1,23 @@
-//! Opens a daemon's sockets, and says why it could not start.
+//! Opens the sockets of a daemon and defines the errors with which a daemon fails to start.
 
 use std::fmt;
 use std::net::SocketAddr;
 
 use tokio::net::{TcpListener, UdpSocket};
 
-/// Why the daemon could not run.
+/// The reason why a daemon could not start.
 #[derive(Debug)]
 pub enum DaemonError {
-    /// An address can't be listened on.
+    /// A socket can't be bound to its address.
     Listen {
-        /// The setting that names the address.
+        /// The name of the setting that holds the address.
         setting: &'static str,
-        /// The address.
+        /// The address as set.
         address: SocketAddr,
-        /// What the system says.
+        /// The error of the operating system.
         error: std::io::Error,
     },
-    /// Threads can't be started.
+    /// The operating system refused to start a thread.
     Threads(std::io::Error),
 }
 
@@ -31,13 +31,13 @@
             } => {
                 write!(
                     f,
-                    "{setting} = {address}: {error}; choose an address of this box that is free"
+                    "{setting} = {address}: {error}; set it to a free address of this box"
                 )
             }
             Self::Threads(error) => {
                 write!(
                     f,
-                    "threads can't be started: {error}; allow this user more of them"
+                    "threads can't be started: {error}; raise the thread limit of this user"
                 )
             }
         }
@@ -46,11 +46,11 @@
 
 impl std::error::Error for DaemonError {}
 
-/// Listens for TCP connections on an address that a setting names.
+/// Binds a TCP listener to `address`, the value of `setting`.
 ///
 /// # Errors
 ///
-/// What the system says, with the setting.
+/// Returns [`DaemonError::Listen`] if the address can't be bound.
 pub async fn listen(
     setting: &'static str,
     address: SocketAddr,
@@ -64,11 +64,11 @@
         })
 }
 
-/// Receives UDP datagrams on an address that a setting names.
+/// Binds a UDP socket to `address`, the value of `setting`.
 ///
 /// # Errors
 ///
-/// What the system says, with the setting.
+/// Returns [`DaemonError::Listen`] if the address can't be bound.
 pub async fn listen_udp(
     setting: &'static str,
     address: SocketAddr,
--- a/src/logs.rs
+++ b/src/logs.rs
@@ -1,4 +1,5 @@
-//! Logs by `log4rs`: to standard error or to a file, one line for a change of state.
+//! Sets up logging with `log4rs`, to standard error or to a file. The daemons log one line per
+//! change of state.
 
 use log::LevelFilter;
 use log4rs::append::Append;
@@ -7,14 +8,14 @@
 use log4rs::config::{Appender, Config, Root};
 use log4rs::encode::pattern::PatternEncoder;
 
-/// How a line looks.
+/// The `log4rs` pattern of a log line: time, level, target, message.
 const PATTERN: &str = "{d(%Y-%m-%dT%H:%M:%S%.3f%:z)} {l} {t} {m}{n}";
 
-/// Starts logging.
+/// Initialises logging to `file`, or to standard error if there is none.
 ///
 /// # Errors
 ///
-/// Says that the file can't be written, or that logging was started before.
+/// Fails if the file can't be opened for writing, or if a logger is already set.
 pub fn start(file: Option<&str>, level: LevelFilter) -> Result<(), String> {
     let encoder = Box::new(PatternEncoder::new(PATTERN));
     let appender: Box<dyn Append> = match file {
@@ -26,7 +27,8 @@
         ),
         Some(path) => {
             let built = FileAppender::builder().encoder(encoder).build(path);
-            let remedy = |e| format!("log_file = {path:?}: {e}; name a file that can be written");
+            let remedy =
+                |e| format!("log_file = {path:?}: {e}; set it to the path of a writable file");
             Box::new(built.map_err(remedy)?)
         }
     };
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -1,6 +1,7 @@
-//! Registers metrics of one process under a common prefix, and writes them in the text format.
+//! Registers the metrics of a process under a common name prefix and exports them in the Prometheus
+//! text format.
 //!
-//! Which metrics there are, and what they count, is the business of the modules that register them.
+//! The modules that register the metrics define their names and meaning.
 
 use prometheus::core::Collector;
 use prometheus::{
@@ -13,7 +14,7 @@
 
 use crate::http;
 
-/// The media type of metrics in the text format.
+/// The media type of the Prometheus text format.
 const TEXT_FORMAT: &str = "text/plain; version=0.0.4";
 
 /// The metrics of one process.
@@ -24,7 +25,7 @@
 }
 
 impl MetricSet {
-    /// An empty set; all names in it begin with `prefix` and an underscore.
+    /// Creates an empty set; every metric name in it starts with `prefix` and an underscore.
     #[must_use]
     pub fn new(prefix: &'static str) -> Self {
         Self {
@@ -37,7 +38,7 @@
     ///
     /// # Panics
     ///
-    /// If the name is taken or no valid one, which is a mistake in this program.
+    /// Panics if the name is invalid or already registered, which is a bug in this program.
     #[must_use]
     pub fn gauge(&self, name: &str, help: &str) -> IntGauge {
         self.register(IntGauge::with_opts(self.opts(name, help)))
@@ -53,7 +54,7 @@
         self.register(IntCounter::with_opts(self.opts(name, help)))
     }
 
-    /// Registers a family of counters that a label tells apart.
+    /// Registers a family of counters distinguished by the value of `label`.
     ///
     /// # Panics
     ///
@@ -63,7 +64,7 @@
         self.register(IntCounterVec::new(self.opts(name, help), &[label]))
     }
 
-    /// Registers a histogram of times in seconds; `buckets` are the upper bounds.
+    /// Registers a histogram of durations in seconds; `buckets` are the upper bounds.
     ///
     /// # Panics
     ///
@@ -74,18 +75,18 @@
         self.register(Histogram::with_opts(opts))
     }
 
-    /// The answer to a request for the metrics.
+    /// Builds the HTTP response to a scrape.
     #[must_use]
     pub fn respond(&self) -> Response<Body> {
         http::respond(StatusCode::OK, TEXT_FORMAT, http::full(self.text()))
     }
 
-    /// All metrics in the text format.
+    /// Encodes all metrics in the text format.
     #[must_use]
     pub fn text(&self) -> Vec<u8> {
         let mut buf = Vec::new();
         if let Err(e) = TextEncoder::new().encode(&self.registry.gather(), &mut buf) {
-            log::error!("metrics can't be written: {e}; report this as a fault of the program");
+            log::error!("metrics can't be encoded: {e}; this is a bug, please report it");
         }
         buf
     }
@@ -94,14 +95,14 @@
         Opts::new(format!("{}_{name}", self.prefix), help)
     }
 
-    fn register<M>(&self, made: prometheus::Result<M>) -> M
+    fn register<M>(&self, metric: prometheus::Result<M>) -> M
     where
         M: Collector + Clone + 'static,
     {
-        let metric = made.expect("a valid name");
+        let metric = metric.expect("metric name is valid");
         self.registry
             .register(Box::new(metric.clone()))
-            .expect("a new name");
+            .expect("metric name is not registered yet");
         metric
     }
 }
--- a/src/rendezvous.rs
+++ b/src/rendezvous.rs
@@ -1,14 +1,15 @@
-//! Rendezvous hashing: every box ranks the candidates for an item alike, without talking.
+//! Rendezvous hashing: every box computes the same ranking of the candidates for an item, without
+//! communication between boxes.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Returns a candidate's score for an item.
+/// Returns the score of a candidate for an item; the highest score ranks first.
 #[must_use]
 pub fn score(candidate: &str, item: u64) -> u64 {
     xxh3_64_with_seed(candidate.as_bytes(), item)
 }
 
-/// Sorts candidates for an item, the best first.
+/// Sorts candidates by their score for an item, highest first; equal scores by name, descending.
 #[must_use]
 pub fn rank<'a, T: AsRef<str> + ?Sized>(candidates: &[&'a T], item: u64) -> Vec<&'a T> {
     let mut ranked = candidates.to_vec();
@@ -18,7 +19,7 @@
     ranked
 }
 
-/// Returns the item number of a key.
+/// Hashes a key to an item number.
 #[must_use]
 pub fn item(key: &str) -> u64 {
     xxhash_rust::xxh3::xxh3_64(key.as_bytes())
--- a/src/schema.rs
+++ b/src/schema.rs
@@ -1,7 +1,7 @@
-//! The types that cross a process edge: messages between boxes, bundles, settings and ids.
+//! The types that cross a process boundary: messages between boxes, bundles, settings and ids.
 //!
-//! They are generated from `schema/*.schema.json` by `magpiemoor-lab gen`. Messages between boxes
-//! travel as postcard, which isn't self-describing, so their fields are all required.
+//! `magpiemoor-lab gen` generates them from `schema/*.schema.json`. Messages between boxes are
+//! encoded as postcard, which isn't self-describing, so all their fields are required.
 
 #[rustfmt::skip]
 #[allow(clippy::all, clippy::pedantic, missing_docs)]
@@ -14,8 +14,8 @@
 use std::fmt;
 use std::time::Duration;
 
-/// Shows names as their text; the generator leaves that out for names with a bounded length.
-macro_rules! display_names {
+/// Implements `Display` for string types with a bounded length, for which the generator doesn't.
+macro_rules! impl_display {
     ($($name:ident),+ $(,)?) => {
         $(impl fmt::Display for $name {
             fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -25,7 +25,7 @@
     };
 }
 
-display_names!(
+impl_display!(
     AdapterId,
     BatchId,
     BoxId,
@@ -60,24 +60,24 @@
 }
 
 impl Micros {
-    /// The start of a box's clock.
+    /// The start of the clock of a box.
     pub const ZERO: Self = Self(0);
 
-    /// Returns the point that lies `span` later.
+    /// Returns the time `span` later, saturating at the end of the clock.
     #[must_use]
     pub fn after(self, span: Duration) -> Self {
         let micros = u64::try_from(span.as_micros()).unwrap_or(u64::MAX);
         Self(self.0.saturating_add(micros))
     }
 
-    /// Returns the point that lies `span` earlier, or the start of the clock.
+    /// Returns the time `span` earlier, saturating at [`Micros::ZERO`].
     #[must_use]
     pub fn before(self, span: Duration) -> Self {
         let micros = u64::try_from(span.as_micros()).unwrap_or(u64::MAX);
         Self(self.0.saturating_sub(micros))
     }
 
-    /// Returns the time since `earlier`, or zero if that lies ahead.
+    /// Returns the duration since `earlier`, or zero if `earlier` is later than this time.
     #[must_use]
     pub fn since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
@@ -85,7 +85,7 @@
 }
 
 impl Refusal {
-    /// Refuses a request of which no byte can have reached an endpoint.
+    /// Creates the refusal of a request of which no byte can have reached an endpoint.
     #[must_use]
     pub fn not_run(reason: Reason, retry_after: Duration, detail: &str) -> Self {
         Self {
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Gives up on a request that may have run.
+    /// Creates the refusal of a request that may have run.
     #[must_use]
     pub fn unknown(reason: Reason, detail: &str) -> Self {
         Self {
@@ -109,10 +109,10 @@
 }
 
 impl RequestKey {
-    /// Separates the failure domain that a key names from the rest of the key.
+    /// The character between the failure domain in a key and the rest of the key.
     pub const DOMAIN_MARK: char = '~';
 
-    /// Returns the failure domain that the key names, if it names one.
+    /// Returns the failure domain given in the key, if there is one.
     #[must_use]
     pub fn named_domain(&self) -> Option<&str> {
         self.split_once(Self::DOMAIN_MARK).map(|(domain, _)| domain)
@@ -120,7 +120,7 @@
 }
 
 impl Request {
-    /// Whether the request is a call that may run at most once.
+    /// Returns whether the request is a call that may run at most once.
     #[must_use]
     pub fn runs_once(&self) -> bool {
         matches!(&self.kind, RequestKind::Call(call) if !call.repeatable)
--- a/src/schema/generated.rs
+++ b/src/schema/generated.rs
@@ -379,7 +379,7 @@
     pub parts: ::std::vec::Vec<BundlePart>,
     pub version: BundleVersion,
 }
-///A bundle as its operators write it.
+///A bundle as written by operators.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct BundleSource {
@@ -510,7 +510,7 @@
     pub repeatable: bool,
     pub service: ServiceId,
 }
-///A call of a plain service.
+///A call that a plain service offers.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct CallSpec {
@@ -830,7 +830,7 @@
     pub born: ::std::option::Option<StartTime>,
     pub id: EndpointId,
 }
-///What an endpoint serves.
+///What an endpoint serves: a model engine or a plain service.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 pub enum EndpointKind {
     Engine(EngineSpec),
@@ -868,7 +868,7 @@
     ///Number of running requests.
     pub running: u32,
 }
-///A model engine.
+///What a model engine serves, and its number of slots.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct EngineSpec {
@@ -1777,7 +1777,7 @@
             })
     }
 }
-///A model.
+///A model and its limits.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct ModelSpec {
@@ -1899,7 +1899,7 @@
             })
     }
 }
-///An organisation, its share and its rights.
+///An organisation: its weight and priority, and the models and services that it may use.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct OrganisationSpec {
@@ -2065,7 +2065,7 @@
         value.parse()
     }
 }
-///A part of a bundle by its content.
+///A reference to a part of a bundle by the hash of its content.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct PartRef {
@@ -2223,7 +2223,7 @@
         Self::BundleReply(value)
     }
 }
-///A box of this or another failure domain to speak to first.
+///A box of this or another failure domain to contact at startup.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct PeerSeed {
@@ -2247,7 +2247,7 @@
     ///Number of permits wanted.
     pub wanted: u32,
 }
-///How requests are served.
+///The policy for serving requests.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Policy {
@@ -2826,7 +2826,7 @@
             })
     }
 }
-///A plain service.
+///The plain service that an endpoint serves, and its number of slots.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceSpec {
@@ -2854,13 +2854,13 @@
     ///The entry box's name, unique in the fleet.
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub box_id: ::std::option::Option<::std::string::String>,
-    ///Address and port for callers, by IP number.
+    ///IP address and port for callers.
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub callers: ::std::option::Option<::std::string::String>,
-    ///How far two clocks may drift apart over one lease, in milliseconds.
+    ///The largest drift between two clocks over one lease, in milliseconds.
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub clock_bound_ms: ::std::option::Option<u64>,
-    ///The failure domain that this box stands in.
+    ///The failure domain that this box belongs to.
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub domain: ::std::option::Option<::std::string::String>,
     ///All failure domains of the fleet.
@@ -2869,66 +2869,66 @@
     ///Time between heartbeats, in milliseconds.
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub heartbeat_ms: ::std::option::Option<u64>,
-    ///How long one read of the roster lets this box act, in milliseconds.
+    ///How long this box may act after one read of the roster, in milliseconds.
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub lease_ms: ::std::option::Option<u64>,
-    ///File for logs; empty writes to standard error.
+    ///The log file; standard error if empty.
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub log_file: ::std::option::Option<::std::string::String>,
-    ///off, error, warn, info, debug or trace.
+    ///The log level: off, error, warn, info, debug or trace.
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub log_level: ::std::option::Option<::std::string::String>,
-    ///The greatest request body, in bytes.
+    ///The largest request body accepted, in bytes.
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub max_body_bytes: ::std::option::Option<u64>,
-    ///How many requests this box holds at once.
+    ///The largest number of requests that this box holds at once.
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub max_requests: ::std::option::Option<u64>,
-    ///How many tokens of answers this box holds at once.
+    ///The largest number of answer tokens that this box holds at once.
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub max_tokens_held: ::std::option::Option<u64>,
-    ///Address and port for health, metrics and the time line.
+    ///IP address and port for health, metrics and the time line.
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub operators: ::std::option::Option<::std::string::String>,
-    ///Address and port for other boxes, TCP and UDP.
+    ///IP address and port for other boxes, TCP and UDP.
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub peers_address: ::std::option::Option<::std::string::String>,
-    ///Address and port of the platform's object API.
+    ///IP address and port of the platform's object API.
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub platform: ::std::option::Option<::std::string::String>,
-    ///resume, restart, timeout or hedge; all but resume are baselines for measuring.
+    ///The recovery strategy: resume, restart, timeout or hedge; all but resume exist as baselines for comparison.
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub recovery: ::std::option::Option<::std::string::String>,
-    ///cost, random or least_loaded; all but cost are baselines for measuring.
+    ///The routing strategy: cost, random or least_loaded; all but cost exist as baselines for comparison.
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub routing: ::std::option::Option<::std::string::String>,
-    ///Boxes to speak to before a roster has been read.
+    ///Boxes to contact before a roster has been read.
     #[serde(default, skip_serializing_if = "::std::vec::Vec::is_empty")]
     pub seeds: ::std::vec::Vec<PeerSeed>,
-    ///How many trusted signatures a bundle needs.
+    ///The number of trusted signatures that a bundle needs.
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub signatures_needed: ::std::option::Option<u64>,
-    ///How long a stop waits for streams to end, in milliseconds.
+    ///How long a shutdown waits for streams to end, in milliseconds.
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub stop_grace_ms: ::std::option::Option<u64>,
-    ///How many events the time line keeps.
+    ///The number of events that the time line keeps.
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub timeline_events: ::std::option::Option<u64>,
-    ///Threads that move bytes.
+    ///The number of I/O threads for traffic.
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub traffic_threads: ::std::option::Option<u64>,
-    ///Keys whose signature makes a bundle acceptable.
+    ///Keys whose signatures count towards accepting a bundle.
     #[serde(default, skip_serializing_if = "::std::vec::Vec::is_empty")]
     pub trusted_keys: ::std::vec::Vec<TrustedKey>,
 }
-///An operator's signature over a manifest.
+///An operator's signature of a manifest.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Signature {
     pub key: KeyId,
     pub signature: ::std::string::String,
 }
-///A manifest, as the exact text that was signed, and its signatures.
+///A manifest as the exact signed text, with its signatures.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct SignedManifest {
@@ -3232,7 +3232,7 @@
     pub held: TokenOffset,
     pub key: RequestKey,
 }
-///A key whose signature makes a bundle acceptable.
+///A public key whose signatures count towards accepting a bundle.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct TrustedKey {
@@ -3326,7 +3326,7 @@
             })
     }
 }
-///What a second of resume latency and a second of extra engine work cost.
+///The cost of one second of resume latency and of one second of extra engine work.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Weights {
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,8 +1,7 @@
-//! Settings of a box in general: what is wrong with one, checks of single fields, and files of JSON
-//! with comments. Which fields there are is told by [`crate::gateway::settings`] and
-//! [`crate::keyed::settings`].
+//! What the settings of both kinds of entry box share: errors, checks of single fields, and files of
+//! JSON with comments. [`crate::gateway::settings`] and [`crate::keyed::settings`] define the fields.
 //!
-//! All errors are found at once; each names the field, its value and the remedy.
+//! A check reports all errors at once; each names the field, its value and the remedy.
 
 pub mod file;
 
@@ -13,22 +12,22 @@
 
 use log::LevelFilter;
 
-/// The exit code of a daemon whose settings or log can't be used.
+/// The exit code of a daemon whose settings are invalid or whose log can't be opened.
 pub const BAD_SETTINGS: u8 = 2;
 
-/// A setting that can't be used.
+/// An invalid setting.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SettingsError {
-    /// The field that is wrong.
+    /// The name of the invalid field, or `file` if the whole file can't be read.
     pub field: String,
-    /// The value it has.
+    /// The value as given.
     pub value: String,
-    /// What to do about it.
+    /// What the operator has to change.
     pub remedy: String,
 }
 
 impl SettingsError {
-    /// Makes an error about one field.
+    /// Creates an error about one field.
     #[must_use]
     pub fn new(field: &str, value: &str, remedy: &str) -> Self {
         Self {
@@ -47,7 +46,7 @@
 
 impl std::error::Error for SettingsError {}
 
-/// A value for a field whose error has been noted already.
+/// Parses a placeholder value, which stands in for a field whose error is already recorded.
 pub(crate) fn placeholder<T: FromStr>(text: &str) -> T
 where
     T::Err: fmt::Debug,
@@ -55,10 +54,9 @@
     text.parse().expect("a placeholder is a valid value")
 }
 
-/// Collects errors while fields are checked.
+/// Checks fields and collects their errors.
 #[derive(Default)]
 pub(crate) struct Checker {
-    /// What was found so far.
     pub(crate) errors: Vec<SettingsError>,
 }
 
--- a/src/settings/file.rs
+++ b/src/settings/file.rs
@@ -1,4 +1,4 @@
-//! Reads a settings file: JSON with comments, every wrong field reported at once.
+//! Reads settings files, which are JSON with comments, and reports all invalid fields at once.
 
 use std::path::Path;
 
@@ -12,14 +12,14 @@
 ///
 /// # Errors
 ///
-/// One error for each field that is unknown or has a value of the wrong type, or a single one if
-/// the file can't be read or isn't JSON with comments.
+/// Returns one error for each field that is unknown or has a value of the wrong type, or a single
+/// error if the file can't be read or isn't JSON with comments.
 pub fn read(path: &Path) -> Result<SettingsFile, Vec<SettingsError>> {
     let text = std::fs::read_to_string(path).map_err(|e| {
         vec![SettingsError::new(
             "file",
             &path.display().to_string(),
-            &format!("{e}; name a readable file with --settings"),
+            &format!("{e}; pass the path of a readable file with --settings"),
         )]
     })?;
     parse(&text)
@@ -34,7 +34,7 @@
     parse_as(text)
 }
 
-/// Parses the text of a settings file of any kind.
+/// Parses the text of a settings file whose fields are those of `T`.
 ///
 /// # Errors
 ///
@@ -43,8 +43,8 @@
     let value = parse_object(text).map_err(|e| vec![e])?;
     let mut errors = Vec::new();
     for (name, field) in &value {
-        let alone = Value::Object(Map::from_iter([(name.clone(), field.clone())]));
-        if let Err(e) = serde_json::from_value::<T>(alone) {
+        let single_field = Value::Object(Map::from_iter([(name.clone(), field.clone())]));
+        if let Err(e) = serde_json::from_value::<T>(single_field) {
             errors.push(SettingsError::new(
                 name,
                 &field.to_string(),
@@ -68,7 +68,7 @@
         other => Err(SettingsError::new(
             "file",
             &other.to_string(),
-            "the file must hold one object in braces",
+            "the file must contain one JSON object in braces",
         )),
     }
 }
@@ -76,8 +76,8 @@
 fn field_remedy(e: &serde_json::Error) -> String {
     let text = e.to_string();
     if text.starts_with("unknown field") {
-        "no such setting; `magpiemoor config sample` lists them all".to_owned()
+        "unknown setting; `magpiemoor config sample` lists all settings".to_owned()
     } else {
-        format!("{text}; give a value of that type")
+        format!("{text}; set a value of the expected type")
     }
 }
--- a/tests/bundles_in_force.rs
+++ b/tests/bundles_in_force.rs
@@ -1,4 +1,5 @@
-//! An accepted bundle is in force everywhere within seconds, and no box goes back.
+//! An accepted bundle comes into force on every box within seconds, and no box returns to an earlier
+//! version.
 
 mod world;
 
@@ -10,7 +11,7 @@
 use world::callers::generation;
 use world::fixtures::{key_in, running};
 
-/// How long a bundle may take to be in force everywhere.
+/// The longest simulated time until a bundle is in force on every box.
 const IN_FORCE: Duration = Duration::from_secs(18);
 
 fn all_have(world: &World, version: u64) -> bool {
@@ -25,12 +26,15 @@
     let from = world.now;
     assert!(world.run_until(IN_FORCE, |w| all_have(w, 2)));
     let took = world.now.since(from);
-    assert!(took < Duration::from_secs(3), "{took:?} on made-up time");
+    assert!(
+        took < Duration::from_secs(3),
+        "bundle in force everywhere after {took:?} of simulated time, expected less than 3 s"
+    );
     world.assert_sound();
 }
 
 #[test]
-fn a_domain_hears_of_it_through_its_peers_only() {
+fn a_domain_learns_of_a_bundle_through_its_peers_only() {
     let mut world = running(1, 3, 1);
     world.cut("north", "platform");
     world.run(Duration::from_secs(2));
@@ -88,7 +92,7 @@
     let key = key_in("north", "answer");
     world.send_request("north-0", generation(&key, 200));
     assert!(world.run_until(IN_FORCE, |w| !w.callers.get(&key).tokens.is_empty()));
-    // The new bundle has none of the engines that run now.
+    // The new bundle lacks the engine that serves the request.
     let engine = world.engine_of(&key);
     let kept = world.engines.remove(&engine).unwrap();
     world.roll(2);
--- a/tests/http_client.rs
+++ b/tests/http_client.rs
@@ -1,4 +1,5 @@
-//! The client for the product's own calls: which connections it uses again, and when it sends anew.
+//! The HTTP client for the product's own calls: it reuses connections, and never resends a request that
+//! the server may have read.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -10,21 +11,21 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Notify;
 
-/// Only a hang makes a call take as long.
+/// The timeout for a call; long enough that only a hang reaches it.
 const LIMIT: Duration = Duration::from_secs(60);
 const ANSWER: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
 
-/// What a server has seen.
+/// What a server has observed.
 #[derive(Clone, Default)]
 struct Seen {
     connections: Arc<AtomicU32>,
     requests: Arc<AtomicU32>,
-    /// The client has closed its end of a connection that the server had closed.
+    /// Notified when the client closes its end of a connection after the server has closed its own.
     closed: Arc<Notify>,
 }
 
-/// Serves connections that answer `answers` requests each, and close at the next one or, if
-/// `closes_at_once`, right after the last answer.
+/// Starts a server that answers `answers` requests per connection. It closes a connection without an
+/// answer at the next request or, if `closes_at_once`, immediately after the last answer.
 async fn serve(answers: u32, closes_at_once: bool) -> (String, Seen) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap().to_string();
@@ -76,7 +77,7 @@
 }
 
 #[tokio::test]
-async fn a_connection_that_was_closed_at_rest_costs_no_request() {
+async fn a_connection_closed_while_idle_costs_no_request() {
     let (address, seen) = serve(1, true).await;
     let client = Client::default();
     for _ in 0..20 {
@@ -98,7 +99,7 @@
 }
 
 #[tokio::test]
-async fn an_address_where_nobody_listens_is_told_apart() {
+async fn a_refused_connection_is_reported_as_a_connect_error() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap().to_string();
     drop(listener);
--- a/tests/product.rs
+++ b/tests/product.rs
@@ -1,4 +1,4 @@
-//! Settings, bundles and the command line as their users meet them.
+//! Settings, bundles and the command line as operators use them.
 
 use std::path::PathBuf;
 use std::process::{Command, Output};
@@ -22,14 +22,14 @@
         .unwrap()
 }
 
-struct Folder(PathBuf);
+/// A temporary directory, removed when dropped.
+struct TempDir(PathBuf);
 
-impl Folder {
+impl TempDir {
     fn new() -> Self {
-        let folder =
-            std::env::temp_dir().join(format!("magpiemoor-{:016x}", rand::random::<u64>()));
-        std::fs::create_dir_all(&folder).unwrap();
-        Self(folder)
+        let path = std::env::temp_dir().join(format!("magpiemoor-{:016x}", rand::random::<u64>()));
+        std::fs::create_dir_all(&path).unwrap();
+        Self(path)
     }
 
     fn path(&self, name: &str) -> String {
@@ -42,7 +42,7 @@
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempDir {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn the_command_line_goes_before_the_file_and_the_file_before_the_defaults() {
+fn the_command_line_overrides_the_file_and_the_file_overrides_the_defaults() {
     let written = file::parse("{ \"lease_ms\": 5000, \"log_level\": \"warn\" }").unwrap();
     let args = magpiemoor::keyed::command::command().get_matches_from([
         "magpiemoord",
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn all_errors_of_the_settings_come_at_once() {
+fn all_settings_errors_are_reported_at_once() {
     let text =
         r#"{ "callers": "localhost", "lease_ms": 100, "recovery": "maybe", "domain": "north" }"#;
     let errors = file::parse(text).and_then(Settings::try_from).unwrap_err();
@@ -103,7 +103,11 @@
 #[case::weight("\"weight\": 40", "\"weight\": 0", "organisations.")]
 #[case::twice("\"id\": \"till-points-2\"", "\"id\": \"till-points-1\"", "endpoints")]
 #[case::weights("\"extra_second\": 1.0", "\"extra_second\": -1.0", "policy.weights")]
-fn a_mistake_in_a_bundle_is_named(#[case] good: &str, #[case] bad: &str, #[case] place: &str) {
+fn an_error_in_a_bundle_names_its_place(
+    #[case] good: &str,
+    #[case] bad: &str,
+    #[case] place: &str,
+) {
     let text = LUNDAVIK.replacen(good, bad, 1);
     assert_ne!(text, LUNDAVIK);
     let errors = parse(&text).unwrap_err();
@@ -120,7 +124,7 @@
 }
 
 #[test]
-fn a_bundle_comes_together_from_its_parts() {
+fn a_bundle_is_joined_from_its_parts() {
     let bundle = join(&unsigned(split(&lundavik()))).unwrap();
     assert_eq!(bundle.endpoints().count(), 27);
     assert_eq!(
@@ -132,7 +136,7 @@
 }
 
 #[test]
-fn a_change_moves_few_parts() {
+fn a_change_replaces_few_parts() {
     let mut source = lundavik();
     let base = source.organisations[0].clone();
     for n in 0..2_600 {
@@ -144,13 +148,13 @@
     source.version.0 += 1;
     source.organisations[7].weight += 1;
     let after = split(&source);
-    let moved: Vec<&String> = after
+    let changed: Vec<&String> = after
         .parts
         .keys()
         .filter(|h| !before.parts.contains_key(*h))
         .collect();
-    assert_eq!(moved.len(), 1, "of {}", after.parts.len());
-    assert!(after.parts[moved[0]].len() < 20_000);
+    assert_eq!(changed.len(), 1, "of {}", after.parts.len());
+    assert!(after.parts[changed[0]].len() < 20_000);
 }
 
 #[test]
@@ -190,13 +194,13 @@
 
 #[test]
 fn a_bundle_is_checked_and_signed_on_the_command_line() {
-    let folder = Folder::new();
-    let source = folder.write("bundle.jsonc", LUNDAVIK);
+    let dir = TempDir::new();
+    let source = dir.write("bundle.jsonc", LUNDAVIK);
     assert_eq!(
         magpiemoor(&["bundle", "check", &source]).status.code(),
         Some(0)
     );
-    let key = folder.path("key");
+    let key = dir.path("key");
     let public = magpiemoor(&["bundle", "keygen", "--out", &key]);
     assert_eq!(String::from_utf8(public.stdout).unwrap().trim().len(), 64);
     assert_eq!(
@@ -205,7 +209,7 @@
             .code(),
         Some(1)
     );
-    let out = folder.path("signed.json");
+    let out = dir.path("signed.json");
     let args = [
         "bundle", "sign", &source, "--key", &key, "--key-id", "ops", "--out", &out, "--json",
     ];
@@ -227,9 +231,9 @@
 }
 
 #[test]
-fn mistakes_have_their_exit_codes() {
-    let folder = Folder::new();
-    let bad = folder.write("bad.jsonc", "{ \"lease_ms\": 1, \"callers\": \"x\" }");
+fn errors_have_their_exit_codes() {
+    let dir = TempDir::new();
+    let bad = dir.write("bad.jsonc", "{ \"lease_ms\": 1, \"callers\": \"x\" }");
     let checked = magpiemoor(&["config", "check", &bad]);
     assert_eq!(checked.status.code(), Some(2));
     assert_eq!(
@@ -268,6 +272,9 @@
 fn the_generated_code_is_up_to_date() {
     let root = PathBuf::from(env!("CARGO_MANIFEST_DIR"));
     let committed = std::fs::read_to_string(root.join("src/schema/generated.rs")).unwrap();
-    let same = magpiemoor_lab::r#gen::generate(&root).unwrap() == committed;
-    assert!(same, "run `magpiemoor-lab gen`");
+    let is_same = magpiemoor_lab::r#gen::generate(&root).unwrap() == committed;
+    assert!(
+        is_same,
+        "src/schema/generated.rs is out of date; run `magpiemoor-lab gen`"
+    );
 }
