--- a/lab/src/gateway/spread.rs
+++ b/lab/src/gateway/spread.rs
@@ -293,7 +293,7 @@
             let shared = member.shared.clone();
             let change = StoreChange::Changed(vec![entry.clone()]);
             tokio::spawn(async move {
-                store::apply_change(ObjectKind::Table, change, 0, &shared).await
+                store::apply_change(ObjectKind::Table, change, 0, &shared).await;
             });
         }
         let mut next_replacement = given + REPLACE_EVERY;
--- a/src/gateway/shell/transfer.rs
+++ b/src/gateway/shell/transfer.rs
@@ -43,15 +43,15 @@
 /// Maximum number of kilobytes of one kind in flight to peers; further requests are declined, and
 /// the peers try other boxes. With fewer, the first peer can pass the data on sooner. A larger
 /// reply is sent alone. Time until the last of 87 boxes on 10 Mbit/s has 2,800 routes, four seeds
-/// each of
-/// `magpiemoor-lab spread`: 128 KB 0.97 to 1.05 s, 256 KB 0.69 to 0.87 s, 512 KB 0.85 to 0.98 s.
+/// each of `magpiemoor-lab spread`: 128 KB 0.97 to 1.05 s, 256 KB 0.69 to 0.87 s, 512 KB 0.85 to
+/// 0.98 s.
 const MAX_KILOBYTES_IN_FLIGHT: u32 = 256;
 /// Number of bytes that are written at a time; [`STALL_TIMEOUT`] applies to each write.
 const WRITE_CHUNK_BYTES: usize = 16 << 10;
 
 /// Fetches the table or the endpoints from another box.
 pub async fn fetch(from: SocketAddr, kind: FetchKind, wanted: StateRequest, shared: GatewayShared) {
-    let began = Instant::now();
+    let requested_at = Instant::now();
     let received = AtomicU64::new(0);
     let replied = with_timeout(TRANSFER_TIMEOUT, request_state(from, &wanted, &received)).await;
     let bytes = received.into_inner();
@@ -61,7 +61,7 @@
             from: from.to_string(),
             after: wanted.table_after,
             bytes,
-            after_ms: began.elapsed().as_millis() as u64,
+            after_ms: requested_at.elapsed().as_millis() as u64,
             outcome: match &replied {
                 Ok(reply) if reply.is_busy => FETCH_BUSY.into(),
                 Ok(_) => FETCHED_WHOLE.into(),
@@ -72,7 +72,7 @@
     let outcome = match replied {
         Ok(reply) if reply.is_busy => FetchOutcome::Busy,
         Ok(reply) => {
-            apply_reply(reply, from, &wanted, began, &shared).await;
+            apply_reply(reply, from, &wanted, requested_at, &shared).await;
             FetchOutcome::Complete
         }
         Err(e) => {
