--- a/src/gateway/shell/metrics.rs
+++ b/src/gateway/shell/metrics.rs
@@ -1,7 +1,8 @@
 //! Prometheus metrics of a gateway.
 //!
-//! Decisions are counted from the records of the decision log, so that the counters and the log
-//! always agree. Durations are observed where they are measured.
+//! Decisions, and the durations that records contain, are counted from the records of the decision
+//! log, so that the metrics and the log always agree. Other durations are observed by the code that
+//! measures them.
 
 use prometheus::{Histogram, IntCounter, IntCounterVec, IntGauge};
 
--- a/src/gateway/shell/shared.rs
+++ b/src/gateway/shell/shared.rs
@@ -34,7 +34,7 @@
     table: RwLock<Option<Arc<RoutingTable>>>,
     is_ready: AtomicBool,
     is_stopping: AtomicBool,
-    /// Memory reserved for request bodies that are being read, in bytes.
+    /// Memory reserved for the bodies of requests in progress, in bytes.
     reserved_bytes: AtomicUsize,
 }
 
