--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -48,7 +48,7 @@
     ///
     /// # Panics
     ///
-    /// As [`MetricSet::gauge`].
+    /// Panics like [`MetricSet::gauge`].
     #[must_use]
     pub fn counter(&self, name: &str, help: &str) -> IntCounter {
         self.register(IntCounter::with_opts(self.opts(name, help)))
@@ -58,7 +58,7 @@
     ///
     /// # Panics
     ///
-    /// As [`MetricSet::gauge`].
+    /// Panics like [`MetricSet::gauge`].
     #[must_use]
     pub fn counters(&self, name: &str, help: &str, label: &str) -> IntCounterVec {
         self.register(IntCounterVec::new(self.opts(name, help), &[label]))
@@ -68,7 +68,7 @@
     ///
     /// # Panics
     ///
-    /// As [`MetricSet::gauge`].
+    /// Panics like [`MetricSet::gauge`].
     #[must_use]
     pub fn times(&self, name: &str, help: &str, buckets: &[f64]) -> Histogram {
         let opts = HistogramOpts::from(self.opts(name, help)).buckets(buckets.to_vec());
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -65,28 +65,28 @@
         self.errors.push(SettingsError::new(field, value, remedy));
     }
 
-    pub(crate) fn range(&mut self, field: &str, value: Option<u64>, least: u64, most: u64) -> u64 {
-        let value = value.unwrap_or(least);
-        if (least..=most).contains(&value) {
+    pub(crate) fn range(&mut self, field: &str, value: Option<u64>, min: u64, max: u64) -> u64 {
+        let value = value.unwrap_or(min);
+        if (min..=max).contains(&value) {
             return value;
         }
-        let remedy = format!("give a number from {least} to {most}");
+        let remedy = format!("give a number from {min} to {max}");
         self.fail(field, &value.to_string(), &remedy);
-        least
+        min
     }
 
-    pub(crate) fn number(&mut self, field: &str, value: Option<f64>, least: f64, most: f64) -> f64 {
-        let value = value.unwrap_or(least);
-        if (least..=most).contains(&value) {
+    pub(crate) fn number(&mut self, field: &str, value: Option<f64>, min: f64, max: f64) -> f64 {
+        let value = value.unwrap_or(min);
+        if (min..=max).contains(&value) {
             return value;
         }
-        let remedy = format!("give a number from {least} to {most}");
+        let remedy = format!("give a number from {min} to {max}");
         self.fail(field, &value.to_string(), &remedy);
-        least
+        min
     }
 
-    pub(crate) fn size(&mut self, field: &str, value: Option<u64>, least: u64, most: u64) -> usize {
-        usize::try_from(self.range(field, value, least, most)).unwrap_or(usize::MAX)
+    pub(crate) fn size(&mut self, field: &str, value: Option<u64>, min: u64, max: u64) -> usize {
+        usize::try_from(self.range(field, value, min, max)).unwrap_or(usize::MAX)
     }
 
     pub(crate) fn parse<T: FromStr>(
@@ -120,9 +120,9 @@
         &mut self,
         field: &str,
         value: Option<u64>,
-        (least, most): (u64, u64),
+        (min, max): (u64, u64),
     ) -> Duration {
-        Duration::from_millis(self.range(field, value, least, most))
+        Duration::from_millis(self.range(field, value, min, max))
     }
 
     pub(crate) fn log_level(&mut self, value: Option<String>) -> LevelFilter {
--- a/src/settings/file.rs
+++ b/src/settings/file.rs
@@ -29,7 +29,7 @@
 ///
 /// # Errors
 ///
-/// As for [`read`].
+/// Fails like [`read`].
 pub fn parse(text: &str) -> Result<SettingsFile, Vec<SettingsError>> {
     parse_as(text)
 }
@@ -38,7 +38,7 @@
 ///
 /// # Errors
 ///
-/// As for [`read`].
+/// Fails like [`read`].
 pub fn parse_as<T: DeserializeOwned>(text: &str) -> Result<T, Vec<SettingsError>> {
     let value = parse_object(text).map_err(|e| vec![e])?;
     let mut errors = Vec::new();
