--- a/src/gateway/shell/callers.rs
+++ b/src/gateway/shell/callers.rs
@@ -104,12 +104,9 @@
     };
     shared.send(input).await;
     tokio::spawn(exchange.run());
-    replied.await.unwrap_or_else(|_| {
-        reject(
-            StatusCode::BAD_GATEWAY,
-            "the request got no answer; try again",
-        )
-    })
+    replied
+        .await
+        .unwrap_or_else(|_| reject(StatusCode::BAD_GATEWAY, "the exchange ended; try again"))
 }
 
 fn head_of(state: &mut State) -> request::Parts {
@@ -130,18 +127,14 @@
 fn reject_body(error: &BodyError, max_bytes: usize) -> Response<Body> {
     match error {
         BodyError::TooLong => {
-            let text =
-                format!("the body exceeds the limit of {max_bytes} bytes; send a shorter one");
+            let text = format!("the body may have {max_bytes} bytes; send a shorter one");
             reject(StatusCode::PAYLOAD_TOO_LARGE, &text)
         }
         BodyError::TooSlow => reject(
             StatusCode::REQUEST_TIMEOUT,
-            "the body was not received within the time limit; send it faster",
-        ),
-        BodyError::Broken => reject(
-            StatusCode::BAD_REQUEST,
-            "the body is incomplete or invalid; send it again",
+            "the body did not come in time; send it whole",
         ),
+        BodyError::Broken => reject(StatusCode::BAD_REQUEST, "the body broke off; send it whole"),
     }
 }
 
--- a/src/gateway/shell/metrics.rs
+++ b/src/gateway/shell/metrics.rs
@@ -84,46 +84,37 @@
     fn new(set: &MetricSet) -> Self {
         let times = |name: &str, help: &str| set.times(name, help, &CALLER_TIME_BUCKETS);
         Self {
-            active: set.gauge("requests_active", "Requests in progress"),
-            refused: set.counter("refused_total", "Requests that were refused"),
+            active: set.gauge("requests_active", "Requests that are served"),
+            refused: set.counter("refused_total", "Requests that no endpoint answered"),
             first_event_seconds: times(
                 "first_event_seconds",
-                "Seconds from the receipt of a whole request to the first event of its stream",
-            ),
-            pause_seconds: times(
-                "pause_seconds",
-                "Seconds between two deliveries of events of a stream",
-            ),
-            answer_seconds: times(
-                "answer_seconds",
-                "Seconds from the receipt of a whole request to its answer, streams excluded",
+                "Seconds until a stream's first event",
             ),
+            pause_seconds: times("pause_seconds", "Seconds between two parts of a stream"),
+            answer_seconds: times("answer_seconds", "Seconds until a whole answer"),
             resume_seconds: times(
                 "resume_seconds",
-                "Seconds between the events before and after a stream moved to another endpoint",
-            ),
-            refusal_seconds: times(
-                "refusal_seconds",
-                "Seconds from the receipt of a whole request to its refusal",
+                "Seconds between two events of a stream that went on elsewhere",
             ),
+            refusal_seconds: times("refusal_seconds", "Seconds until a request was given up"),
             refusals: set.counters(
                 "refusals_total",
-                "Requests that were refused, by reason",
+                "Requests that were given up, by reason",
                 "reason",
             ),
             attempts: set.counters(
                 "sendings_total",
-                "Attempts at endpoints: first, resumed from a replica (copy), or repeated (anew)",
+                "Sendings to endpoints: the first of a request, from a copy, or anew",
                 "kind",
             ),
             snapshots: set.counters(
                 "copies_total",
-                "Snapshots of attempts that were requested from engines, by result",
+                "Copies of runs that engines were asked for, by what came of it",
                 "result",
             ),
             suspected: set.counter(
                 "suspected_total",
-                "Attempts that were abandoned because their endpoint was unresponsive",
+                "Runs that were left since their endpoint was silent",
             ),
         }
     }
@@ -163,19 +154,19 @@
     fn new(set: &MetricSet) -> Self {
         let times = |name: &str, help: &str| set.times(name, help, &CALLER_TIME_BUCKETS);
         Self {
-            version: set.gauge("table_version", "Version of the routing table in force"),
+            version: set.gauge("table_version", "The version of the table in force"),
             fetches: set.counters(
                 "table_fetches_total",
-                "Fetches of a routing table from a peer, by result",
+                "Fetches of a table from a peer, by how they ended",
                 "result",
             ),
             fetch_seconds: times(
                 "table_fetch_seconds",
-                "Seconds that fetches of a routing table from a peer took, including failures",
+                "Seconds that fetches of a table from a peer took, failed ones included",
             ),
             age_seconds: times(
                 "table_age_seconds",
-                "Seconds from the store's answer until this box has read a newer routing table",
+                "Seconds from the store's answer until a newer table was read by this box",
             ),
         }
     }
@@ -211,22 +202,22 @@
         Self {
             stating_limit: set.gauge(
                 "endpoints_limited",
-                "Endpoints known to this box that state a limit of requests per second",
+                "Endpoints that name a limit of requests a second, as this box knows",
             ),
             permits: set.counters(
                 "permits_total",
-                "Permits for limited endpoints: allocated (dealt), used, or missing (wanted)",
+                "Permits for endpoints that name a limit: dealt by this box, used by it, or wanted when it had none",
                 "kind",
             ),
             crashes: set.counter(
                 "crashes_total",
-                "Endpoints that crashed while they ran a request of this box",
+                "Endpoints that ended under a request of this box.",
             ),
             quarantined: set.counter(
                 "quarantined_total",
-                "Requests that were quarantined, by this box or another",
+                "Requests that were quarantined, by this box or another.",
             ),
-            restarted: set.counter("reborn_total", "Endpoints that restarted under the same id"),
+            restarted: set.counter("reborn_total", "Endpoints that started again under their id"),
         }
     }
 
@@ -268,31 +259,31 @@
             tables: TableMetrics::new(&set),
             boxes_local: set.gauge(
                 "boxes_near",
-                "Known running boxes in the failure domain of this box, including this one",
+                "Running boxes of the own failure domain that are known",
             ),
             boxes: set.gauge(
                 "boxes",
-                "Known running boxes in all failure domains, including this one",
+                "Running boxes of all failure domains that are known",
             ),
             endpoints: EndpointMetrics::new(&set),
             store_calls: set.counters(
                 "store_calls_total",
-                "Calls to the platform's store, by kind of call",
+                "Calls to the platform's store, by what was asked",
                 "kind",
             ),
-            probes: set.counter("probes_total", "Probes sent to endpoints"),
+            probes: set.counter("probes_total", "Probes of endpoints"),
             rollouts: set.counters(
                 "rollout_phases_total",
-                "Phases of roll-outs that this box has entered",
+                "Phases of roll-outs that this box entered",
                 "phase",
             ),
             store_seconds: times(
                 "store_call_seconds",
-                "Response times of the platform's store in seconds, except for watches",
+                "Seconds until the platform's store answered, watches left out",
             ),
             peer_bytes: set.counters(
                 "peer_bytes_total",
-                "Bytes of data fetched from peers, by kind of data",
+                "Bytes that peers sent when asked, by what they were asked for",
                 "kind",
             ),
             set,
