--- a/src/gateway/shell.rs
+++ b/src/gateway/shell.rs
@@ -57,8 +57,8 @@
 /// Idle time after which a connection to an endpoint is closed: slightly longer than the idle time
 /// up to which an attempt reuses one.
 const IDLE_CONNECTION_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(5);
-/// Timeout for a request's head while there is no configuration.
-const UNCONFIGURED_HEAD_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(15);
+/// Idle timeout of a caller's connection while there is no configuration.
+const UNCONFIGURED_IDLE_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(15);
 
 struct Listeners {
     callers: TcpListener,
@@ -171,7 +171,7 @@
     let options = move || {
         let limits = shared.limits();
         ServeOptions {
-            head_timeout: limits.map_or(UNCONFIGURED_HEAD_TIMEOUT, |l| l.idle),
+            head_timeout: limits.map_or(UNCONFIGURED_IDLE_TIMEOUT, |l| l.idle),
             head_bytes: limits.map_or(0, |l| l.head_bytes),
             closing: shared.closing.subscribe(),
         }
--- a/src/gateway/shell/duties.rs
+++ b/src/gateway/shell/duties.rs
@@ -34,8 +34,8 @@
         return;
     }
     loop {
-        let day = UnixMillis(wall_millis());
-        shared.send(Input::Event(Event::TimeOfDay(day))).await;
+        let now = UnixMillis(wall_millis());
+        shared.send(Input::Event(Event::TimeOfDay(now))).await;
         tokio::time::sleep(TIME_OF_DAY_INTERVAL).await;
     }
 }
--- a/src/gateway/shell/endpoint_reader.rs
+++ b/src/gateway/shell/endpoint_reader.rs
@@ -24,11 +24,11 @@
         StoreChange::Listed(entries) => (entries, true),
         StoreChange::Changed(entries) => (entries, false),
     };
-    let named = entries.into_iter().filter_map(|e| with_id(e, shared));
-    let (ids, entries): (Vec<EndpointId>, Vec<Entry>) = named.unzip();
+    let with_ids = entries.into_iter().filter_map(|e| with_id(e, shared));
+    let (ids, entries): (Vec<EndpointId>, Vec<Entry>) = with_ids.unzip();
     let at = shared.cache_endpoints(&entries, is_whole, revision)?;
-    let named = ids.iter().zip(&entries);
-    let changes = named.map(|(id, entry)| read_change(id, entry, shared));
+    let with_ids = ids.iter().zip(&entries);
+    let changes = with_ids.map(|(id, entry)| read_change(id, entry, shared));
     let changes: Vec<EndpointChange> = changes.collect();
     if !is_whole {
         return Some(Event::EndpointsChanged { changes, at });
--- a/src/gateway/shell/store.rs
+++ b/src/gateway/shell/store.rs
@@ -186,11 +186,11 @@
             ),
         };
         shared.metrics.store_calls_of(request).inc();
-        let began = Instant::now();
+        let started_at = Instant::now();
         let answered =
             tokio::time::timeout(STORE_ANSWER_TIMEOUT, self.get(&path, head_timeout, shared)).await;
         if !is_watch {
-            let took = began.elapsed().as_secs_f64();
+            let took = started_at.elapsed().as_secs_f64();
             shared.metrics.store_seconds.observe(took);
         }
         let answer = match answered.ok().flatten() {
--- a/src/gateway/shell/table_reader.rs
+++ b/src/gateway/shell/table_reader.rs
@@ -35,7 +35,7 @@
 
 /// Checks a configuration; caches it and sends it to the control thread if it is newer.
 pub async fn load_table(text: TableText, source: TableSource, shared: &GatewayShared) {
-    let began = Instant::now();
+    let started_at = Instant::now();
     let dialect = shared.dialect.clone();
     let reading = tokio::task::spawn_blocking(move || read(text, dialect.as_ref()));
     let read = match reading.await {
@@ -63,7 +63,7 @@
         version: version.0,
         from: source.from,
         bytes: text_bytes.into(),
-        check_ms: began.elapsed().as_millis() as u64,
+        check_ms: started_at.elapsed().as_millis() as u64,
         age_ms: source.read_at.elapsed().as_millis() as u64,
         is_newer,
     });
