--- a/tests/duties.rs
+++ b/tests/duties.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use duty_world::{Broken, Holding, Schedule, World};
+use duty_world::{HolderKind, Schedule, Violation, World};
 use magpiemoor::clock::UnixMillis;
 use magpiemoor::gateway::dispatch::duty::Holder;
 use magpiemoor::gateway::dispatch::duty::usage_counts::{LocalCounts, ReportedCounts, Window};
@@ -35,12 +35,12 @@
 fn one_box_at_a_time_acts_and_windows_are_reported_in_one_way() {
     for seed in 0..seeds() {
         let schedule = if seed % 4 == 0 {
-            Schedule::one_sleeps(seed)
+            Schedule::one_suspended(seed)
         } else {
-            Schedule::draw(seed)
+            Schedule::random(seed)
         };
-        let played = World::play(schedule, Holding::Real);
-        assert_eq!(played.broken, [], "seed {seed}: {played:?}");
+        let played = World::run(schedule, HolderKind::Real);
+        assert_eq!(played.violations, [], "seed {seed}: {played:?}");
     }
 }
 
@@ -48,10 +48,10 @@
 #[test]
 fn without_a_fault_every_window_is_reported_right_and_in_time() {
     for seed in 0..20 {
-        let played = World::play(Schedule::quiet(seed), Holding::Real);
-        assert_eq!(played.broken, [], "seed {seed}: {played:?}");
-        assert_eq!(played.wrong, 0, "seed {seed}: {played:?}");
-        assert!(played.right >= 8, "seed {seed}: {played:?}");
+        let played = World::run(Schedule::without_faults(seed), HolderKind::Real);
+        assert_eq!(played.violations, [], "seed {seed}: {played:?}");
+        assert_eq!(played.incorrect, 0, "seed {seed}: {played:?}");
+        assert!(played.correct >= 8, "seed {seed}: {played:?}");
     }
 }
 
@@ -60,23 +60,26 @@
 fn with_faults_nearly_all_windows_are_reported_right_and_in_time() {
     let (mut right, mut wrong) = (0, 0);
     for seed in 0..100 {
-        let played = World::play(Schedule::one_kill(seed), Holding::Real);
-        right += played.right;
-        wrong += played.wrong;
+        let played = World::run(Schedule::one_kill(seed), HolderKind::Real);
+        right += played.correct;
+        wrong += played.incorrect;
     }
     assert!(wrong * 50 <= right + wrong, "{wrong} wrong, {right} right");
 }
 
 /// The judge is one: holders that are wrong on purpose fail it where they should.
 #[rstest]
-#[case::by_wall_clock(Holding::ByWallClock, Broken::LowerToken)]
-#[case::token_from_memory(Holding::TokenFromMemory, Broken::SharedToken)]
-#[case::counted_again(Holding::CountsAgain, Broken::TwoReports)]
-fn holders_that_are_wrong_on_purpose_are_found(#[case] holding: Holding, #[case] broken: Broken) {
+#[case::by_wall_clock(HolderKind::ByWallClock, Violation::LowerToken)]
+#[case::token_from_memory(HolderKind::TokenFromMemory, Violation::SharedToken)]
+#[case::counted_again(HolderKind::CountsAgain, Violation::TwoReports)]
+fn holders_that_are_wrong_on_purpose_are_found(
+    #[case] holding: HolderKind,
+    #[case] broken: Violation,
+) {
     let found = (0..200).any(|seed| {
-        let drawn = World::play(Schedule::draw(seed), holding);
-        let slept = World::play(Schedule::one_sleeps(seed), holding);
-        drawn.broken.contains(&broken) || slept.broken.contains(&broken)
+        let drawn = World::run(Schedule::random(seed), holding);
+        let slept = World::run(Schedule::one_suspended(seed), holding);
+        drawn.violations.contains(&broken) || slept.violations.contains(&broken)
     });
     assert!(found);
 }
--- a/tests/gateway/duty_world.rs
+++ b/tests/gateway/duty_world.rs
@@ -1,11 +1,13 @@
-//! Boxes that may hold the duty to report usage, the store and the platform, on made-up time.
+//! Simulation of the boxes that may hold the duty to report usage, with the store and the platform,
+//! on a simulated clock.
 //!
-//! Time goes in steps of 50 ms. Faults: the store is out, answers late or not at all and does what it
-//! was asked seconds later; boxes are killed, stand still, sleep (their steady clock stops, the time of
-//! day goes on), or are cut off from the store; reports are late or lost. The platform takes any token,
-//! as where fences are not enforced, so that every mistake shows.
+//! Time advances in steps of 50 ms. Faults: the store is unavailable; the store loses answers and
+//! carries out the requests up to 12 s later; boxes are killed, paused, suspended (their steady
+//! clock stops while the time of day goes on) or cut off from the store; answers to reports are
+//! lost. The platform accepts any token, as if fencing were not enforced, so that every fault of a
+//! holder shows.
 
-#![allow(dead_code)] // Each test file uses a part of it.
+#![allow(dead_code)] // Each test binary uses only some of these items.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -22,56 +24,56 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-const STEP: u64 = 50;
+const STEP_MS: u64 = 50;
 const BOXES: usize = 8;
-const LENGTH: u64 = 5_000;
-const LATE: u64 = 10_000;
-const LEASE: u64 = 3_000;
-/// The time of day when a play begins, in milliseconds, and how long it lasts.
-const BEGIN: u64 = 1_000_000_000_000;
-const LASTS: u64 = 75_000;
-/// Calls that come so soon after their sender could send again are not held against it.
-const THAW: u64 = 300;
-
-/// Who holds the duty.
+const WINDOW_MS: u64 = 5_000;
+const REPORT_LIMIT_MS: u64 = 10_000;
+const LEASE_MS: u64 = 3_000;
+/// Time of day at the start of a run, in ms since the Unix epoch.
+const START_OF_RUN_MS: u64 = 1_000_000_000_000;
+const DURATION_MS: u64 = 75_000;
+/// Reports that arrive within this time after their sender resumes from a pause are not checked.
+const RESUME_GRACE_MS: u64 = 300;
+
+/// How a box holds the duty: correctly, or with a deliberate fault that the checks must find.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Holding {
-    /// The real lease.
+pub enum HolderKind {
+    /// Uses the lease of the code under test.
     Real,
-    /// A box believes that it holds the duty for as long as its lease said, by a clock that stops.
+    /// Runs the code under test with a time of day that stops while the box is suspended.
     ByWallClock,
-    /// A holder counts tokens by itself.
+    /// Keeps a token of its own in memory, 41 or 42, and sends it with every report.
     TokenFromMemory,
-    /// A holder that takes over counts windows again.
+    /// Sends counts that depend on the incarnation of the holder.
     CountsAgain,
 }
 
-/// What must not be.
+/// A violated invariant.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Broken {
-    /// Two holders sent one token.
+pub enum Violation {
+    /// Two holders sent the same token.
     SharedToken,
-    /// A smaller token came after a greater one.
+    /// A smaller token arrived after a greater one.
     LowerToken,
-    /// Two reports of a window differ.
+    /// Two reports of one window differ.
     TwoReports,
-    /// Two holders acted by turns within the time of a lease.
-    ByTurns,
+    /// A holder reports, then another one, and then the first again within the time of a lease.
+    AlternatingHolders,
 }
 
-/// Something that fails for a while.
+/// A fault that lasts for some time.
 #[derive(Clone, Copy, Debug)]
 enum Fault {
-    StoreOut,
+    StoreDown,
     StoreLosesAnswers,
     ReportsLost,
     Killed(usize),
-    StandsStill(usize),
-    Sleeps(usize),
+    Paused(usize),
+    Suspended(usize),
     CutOff(usize),
 }
 
-/// What happens in a play.
+/// Faults of a run: begin and end in ms since its start, and kind.
 #[derive(Clone, Debug)]
 pub struct Schedule {
     seed: u64,
@@ -79,15 +81,14 @@
 }
 
 impl Schedule {
-    /// Nothing fails.
-    pub fn quiet(seed: u64) -> Self {
+    pub fn without_faults(seed: u64) -> Self {
         Self {
             seed,
             faults: Vec::new(),
         }
     }
 
-    /// One box is killed.
+    /// One box is killed and restarts 1.5 s later.
     pub fn one_kill(seed: u64) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let begin = rng.random_range(10_000..50_000);
@@ -98,9 +99,9 @@
         }
     }
 
-    /// One box sleeps while reports get no answers, so that windows are still to be sent when it wakes,
-    /// cut off from the store.
-    pub fn one_sleeps(seed: u64) -> Self {
+    /// One box is suspended while answers to reports are lost, so that it still has windows to
+    /// report when it resumes, cut off from the store.
+    pub fn one_suspended(seed: u64) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let begin = rng.random_range(10_000..50_000);
         let at = rng.random_range(0..BOXES);
@@ -108,29 +109,29 @@
             seed,
             faults: vec![
                 (begin - 4_000, begin + 13_000, Fault::ReportsLost),
-                (begin, begin + 9_000, Fault::Sleeps(at)),
+                (begin, begin + 9_000, Fault::Suspended(at)),
                 (begin + 8_900, begin + 13_000, Fault::CutOff(at)),
             ],
         }
     }
 
-    /// Several things fail, drawn by the seed.
-    pub fn draw(seed: u64) -> Self {
+    /// Two to eight faults, drawn at random from the seed.
+    pub fn random(seed: u64) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let faults = (0..rng.random_range(2..9)).map(|_| {
-            let begin = rng.random_range(5_000..LASTS - 15_000);
-            let lasts = rng.random_range(300..9_000);
+            let begin = rng.random_range(5_000..DURATION_MS - 15_000);
+            let duration = rng.random_range(300..9_000);
             let at = rng.random_range(0..BOXES);
             let fault = match rng.random_range(0..7) {
-                0 => Fault::StoreOut,
+                0 => Fault::StoreDown,
                 1 => Fault::StoreLosesAnswers,
                 2 => Fault::ReportsLost,
                 3 => Fault::Killed(at),
-                4 => Fault::StandsStill(at),
-                5 => Fault::Sleeps(at),
+                4 => Fault::Paused(at),
+                5 => Fault::Suspended(at),
                 _ => Fault::CutOff(at),
             };
-            (begin, begin + lasts, fault)
+            (begin, begin + duration, fault)
         });
         Self {
             seed,
@@ -139,12 +140,13 @@
     }
 }
 
-/// What a play came to.
+/// Result of a run: violated invariants, numbers of windows that were reported correctly and
+/// incorrectly, and the number of checked reports.
 #[derive(Debug)]
-pub struct Played {
-    pub broken: Vec<Broken>,
-    pub right: u32,
-    pub wrong: u32,
+pub struct RunResult {
+    pub violations: Vec<Violation>,
+    pub correct: u32,
+    pub incorrect: u32,
     pub reports: usize,
 }
 
@@ -154,34 +156,34 @@
     steady: u64,
     is_running: bool,
     ready_at: u64,
-    told_at: u64,
+    next_publish_at: u64,
     memory_token: u64,
 }
 
 #[derive(Debug)]
-enum Mail {
+enum Message {
     Store {
         from: usize,
-        life: u64,
+        incarnation: u64,
         call: StoreCall,
         answers: bool,
     },
     StoreAnswer {
         to: usize,
-        life: u64,
+        incarnation: u64,
         call: u64,
         answer: DutyAnswer,
     },
     Report {
         from: usize,
-        life: u64,
+        incarnation: u64,
         token: u64,
         window: SettledWindow,
         answers: bool,
     },
     Reported {
         to: usize,
-        life: u64,
+        incarnation: u64,
         window: Window,
         outcome: ReportOutcome,
     },
@@ -194,62 +196,62 @@
     window: SettledWindow,
 }
 
-/// Boxes, store and platform.
+/// The boxes, the store and the platform.
 pub struct World {
     schedule: Schedule,
-    holding: Holding,
+    holder_kind: HolderKind,
     now: u64,
     boxes: Vec<DutyBox>,
     revision: u64,
     object: Option<DutyObject>,
-    mail: Vec<(u64, Mail)>,
+    queue: Vec<(u64, Message)>,
     reports: Vec<Report>,
     began: BTreeMap<(u64, OrganisationId), u64>,
-    lives: u64,
+    incarnations: u64,
     rng: ChaCha8Rng,
 }
 
 fn policy() -> DutyPolicy {
     DutyPolicy {
-        window: Duration::from_millis(LENGTH),
-        late: Duration::from_millis(LATE),
-        lease: Duration::from_millis(LEASE),
+        window: Duration::from_millis(WINDOW_MS),
+        late: Duration::from_millis(REPORT_LIMIT_MS),
+        lease: Duration::from_millis(LEASE_MS),
     }
 }
 
 impl World {
-    /// Plays a schedule to its end.
-    pub fn play(schedule: Schedule, holding: Holding) -> Played {
+    /// Runs the simulation with a schedule of faults and checks the reports that the platform got.
+    pub fn run(schedule: Schedule, holder_kind: HolderKind) -> RunResult {
         let rng = ChaCha8Rng::seed_from_u64(schedule.seed ^ 0x5eed);
         let mut world = Self {
             schedule,
-            holding,
+            holder_kind,
             now: 0,
             boxes: Vec::new(),
             revision: 40,
             object: None,
-            mail: Vec::new(),
+            queue: Vec::new(),
             reports: Vec::new(),
             began: BTreeMap::new(),
-            lives: 0,
+            incarnations: 0,
             rng,
         };
         for at in 0..BOXES {
             let new = world.new_box(at);
             world.boxes.push(new);
         }
-        while world.now < LASTS {
-            world.now += STEP;
+        while world.now < DURATION_MS {
+            world.now += STEP_MS;
             world.step();
         }
-        world.judge()
+        world.check()
     }
 
     fn new_box(&mut self, at: usize) -> DutyBox {
-        self.lives += 1;
+        self.incarnations += 1;
         let holder = Holder {
             id: format!("box-{at}").parse().unwrap(),
-            incarnation: Incarnation(self.lives),
+            incarnation: Incarnation(self.incarnations),
             address: ([10, 0, 0, at as u8], 7_200).into(),
         };
         DutyBox {
@@ -258,28 +260,28 @@
             steady: 1,
             is_running: true,
             ready_at: 0,
-            told_at: 0,
+            next_publish_at: 0,
             memory_token: 0,
         }
     }
 
-    fn lasts(&self, is: impl Fn(Fault) -> bool) -> bool {
+    fn has_fault(&self, is: impl Fn(Fault) -> bool) -> bool {
         let mut faults = self.schedule.faults.iter();
         faults.any(|(begin, end, fault)| (*begin..*end).contains(&self.now) && is(*fault))
     }
 
-    fn is_still(&self, at: usize) -> bool {
-        self.lasts(|f| matches!(f, Fault::StandsStill(of) | Fault::Sleeps(of) if of == at))
+    fn is_paused(&self, at: usize) -> bool {
+        self.has_fault(|f| matches!(f, Fault::Paused(of) | Fault::Suspended(of) if of == at))
     }
 
-    fn is_cut(&self, at: usize) -> bool {
-        self.lasts(|f| matches!(f, Fault::CutOff(of) if of == at))
+    fn is_cut_off(&self, at: usize) -> bool {
+        self.has_fault(|f| matches!(f, Fault::CutOff(of) if of == at))
     }
 
     fn clocks(&self, at: usize) -> Now {
-        let day = match self.holding {
-            Holding::ByWallClock => BEGIN + self.boxes[at].steady,
-            _ => BEGIN + self.now,
+        let day = match self.holder_kind {
+            HolderKind::ByWallClock => START_OF_RUN_MS + self.boxes[at].steady,
+            _ => START_OF_RUN_MS + self.now,
         };
         Now {
             steady: Micros(self.boxes[at].steady * 1_000),
@@ -289,13 +291,13 @@
 
     fn step(&mut self) {
         for at in 0..BOXES {
-            if !self.lasts(|f| matches!(f, Fault::Sleeps(of) if of == at)) {
-                self.boxes[at].steady += STEP;
+            if !self.has_fault(|f| matches!(f, Fault::Suspended(of) if of == at)) {
+                self.boxes[at].steady += STEP_MS;
             }
-            if self.is_still(at) {
-                self.boxes[at].ready_at = self.now + THAW;
+            if self.is_paused(at) {
+                self.boxes[at].ready_at = self.now + RESUME_GRACE_MS;
             }
-            let is_killed = self.lasts(|f| matches!(f, Fault::Killed(of) if of == at));
+            let is_killed = self.has_fault(|f| matches!(f, Fault::Killed(of) if of == at));
             if is_killed {
                 self.boxes[at].is_running = false;
             } else if !self.boxes[at].is_running {
@@ -305,8 +307,8 @@
         self.deliver();
         self.serve();
         for at in 0..BOXES {
-            if self.boxes[at].is_running && !self.is_still(at) {
-                self.tell(at);
+            if self.boxes[at].is_running && !self.is_paused(at) {
+                self.publish(at);
                 if self.now.is_multiple_of(500) {
                     self.tick(at);
                 }
@@ -314,10 +316,10 @@
         }
     }
 
-    /// Requests begin at boxes that run.
+    /// Each running box counts one request of a random organisation.
     fn serve(&mut self) {
         for at in 0..BOXES {
-            if !self.boxes[at].is_running || self.is_still(at) {
+            if !self.boxes[at].is_running || self.is_paused(at) {
                 continue;
             }
             let organisation: OrganisationId = format!("org-{}", self.rng.random_range(0..3))
@@ -325,23 +327,23 @@
                 .unwrap();
             let day = self.clocks(at).day;
             self.boxes[at].duty.count(&organisation, day);
-            let window = (BEGIN + self.now) / LENGTH;
+            let window = (START_OF_RUN_MS + self.now) / WINDOW_MS;
             *self.began.entry((window, organisation)).or_default() += 1;
         }
     }
 
-    fn tell(&mut self, at: usize) {
-        if self.now < self.boxes[at].told_at {
+    fn publish(&mut self, at: usize) {
+        if self.now < self.boxes[at].next_publish_at {
             return;
         }
-        self.boxes[at].told_at = self.now + 1_000;
+        self.boxes[at].next_publish_at = self.now + 1_000;
         let now = self.clocks(at);
-        let news = self.boxes[at].duty.update(now);
+        let update = self.boxes[at].duty.update(now);
         for to in (0..BOXES).filter(|to| *to != at) {
-            let is_apart = self.is_cut(at) || self.is_cut(to);
-            if self.boxes[to].is_running && !self.is_still(to) && !is_apart {
+            let is_cut_off = self.is_cut_off(at) || self.is_cut_off(to);
+            if self.boxes[to].is_running && !self.is_paused(to) && !is_cut_off {
                 let steady = self.clocks(to).steady;
-                self.boxes[to].duty.on_update(&news, steady);
+                self.boxes[to].duty.on_update(&update, steady);
             }
         }
     }
@@ -353,155 +355,160 @@
     }
 
     fn carry_out(&mut self, at: usize, steps: Vec<DutyStep>) {
-        let life = self.boxes[at].holder.incarnation.0;
+        let incarnation = self.boxes[at].holder.incarnation.0;
         for step in steps {
-            let way = self.rng.random_range(2..20);
+            let latency = self.rng.random_range(2..20);
             match step {
                 DutyStep::Store(call) => {
-                    let loses = self.lasts(|f| matches!(f, Fault::StoreLosesAnswers));
-                    let is_lost = loses && self.rng.random_bool(0.4);
-                    let late = if is_lost {
+                    let loses_answers = self.has_fault(|f| matches!(f, Fault::StoreLosesAnswers));
+                    let is_lost = loses_answers && self.rng.random_bool(0.4);
+                    let delay = if is_lost {
                         self.rng.random_range(0..12_000)
                     } else {
                         0
                     };
-                    if self.is_cut(at) || self.lasts(|f| matches!(f, Fault::StoreOut)) {
+                    if self.is_cut_off(at) || self.has_fault(|f| matches!(f, Fault::StoreDown)) {
                         continue;
                     }
-                    let mail = Mail::Store {
+                    let message = Message::Store {
                         from: at,
-                        life,
+                        incarnation,
                         call,
                         answers: !is_lost,
                     };
-                    self.mail.push((self.now + way + late, mail));
+                    self.queue.push((self.now + latency + delay, message));
                 }
                 DutyStep::Report { token, window } => {
-                    let loses = self.lasts(|f| matches!(f, Fault::ReportsLost));
-                    let is_lost = loses && self.rng.random_bool(0.5);
-                    let (token, window) = self.spoil(at, token, window);
-                    let mail = Mail::Report {
+                    let loses_answers = self.has_fault(|f| matches!(f, Fault::ReportsLost));
+                    let is_lost = loses_answers && self.rng.random_bool(0.5);
+                    let (token, window) = self.apply_deliberate_fault(at, token, window);
+                    let message = Message::Report {
                         from: at,
-                        life,
+                        incarnation,
                         token,
                         window,
                         answers: !is_lost,
                     };
-                    self.mail.push((self.now + way, mail));
+                    self.queue.push((self.now + latency, message));
                 }
             }
         }
     }
 
-    /// What a holder that is wrong on purpose sends instead.
-    fn spoil(&mut self, at: usize, token: u64, window: SettledWindow) -> (u64, SettledWindow) {
-        match self.holding {
-            Holding::TokenFromMemory => {
+    /// Applies the deliberate fault of the holder to a report.
+    fn apply_deliberate_fault(
+        &mut self,
+        at: usize,
+        token: u64,
+        window: SettledWindow,
+    ) -> (u64, SettledWindow) {
+        match self.holder_kind {
+            HolderKind::TokenFromMemory => {
                 let memory = &mut self.boxes[at].memory_token;
                 if *memory == 0 {
                     *memory = 41 + token % 2;
                 }
                 (*memory, window)
             }
-            Holding::CountsAgain => {
+            HolderKind::CountsAgain => {
                 let mut window = window;
                 for count in window.counts.values_mut() {
                     *count += self.boxes[at].holder.incarnation.0;
                 }
                 (token, window)
             }
-            Holding::Real | Holding::ByWallClock => (token, window),
+            HolderKind::Real | HolderKind::ByWallClock => (token, window),
         }
     }
 
     fn deliver(&mut self) {
-        let mail = std::mem::take(&mut self.mail);
+        let queue = std::mem::take(&mut self.queue);
         let (mut due, later): (Vec<_>, Vec<_>) =
-            mail.into_iter().partition(|(at, _)| *at <= self.now);
-        self.mail = later;
+            queue.into_iter().partition(|(at, _)| *at <= self.now);
+        self.queue = later;
         due.sort_by_key(|(at, _)| *at);
-        for (_, mail) in due {
-            self.take(mail);
+        for (_, message) in due {
+            self.dispatch(message);
         }
     }
 
-    fn take(&mut self, mail: Mail) {
-        match mail {
-            Mail::Store {
+    fn dispatch(&mut self, message: Message) {
+        match message {
+            Message::Store {
                 from,
-                life,
+                incarnation,
                 call,
                 answers,
             } => {
                 let answer = self.store(call.operation);
                 if answers {
-                    let way = self.rng.random_range(2..20);
+                    let latency = self.rng.random_range(2..20);
                     let call = call.number;
-                    let answer = Mail::StoreAnswer {
+                    let answer = Message::StoreAnswer {
                         to: from,
-                        life,
+                        incarnation,
                         call,
                         answer,
                     };
-                    self.mail.push((self.now + way, answer));
+                    self.queue.push((self.now + latency, answer));
                 }
             }
-            Mail::StoreAnswer {
+            Message::StoreAnswer {
                 to,
-                life,
+                incarnation,
                 call,
                 answer,
             } => {
-                if self.is_still(to) {
-                    let again = Mail::StoreAnswer {
+                if self.is_paused(to) {
+                    let again = Message::StoreAnswer {
                         to,
-                        life,
+                        incarnation,
                         call,
                         answer,
                     };
-                    return self.mail.push((self.now + STEP, again));
+                    return self.queue.push((self.now + STEP_MS, again));
                 }
-                if self.is_alive(to, life) && !self.is_cut(to) {
+                if self.is_same_incarnation(to, incarnation) && !self.is_cut_off(to) {
                     let now = self.clocks(to);
                     self.boxes[to].duty.on_store(call, answer, now);
                     self.tick(to);
                 }
             }
-            Mail::Report {
+            Message::Report {
                 from,
-                life,
+                incarnation,
                 token,
                 window,
                 answers,
             } => {
                 let outcome = ReportOutcome::Taken;
                 let number = window.window;
-                let is_judged = self.now >= self.boxes[from].ready_at;
-                if is_judged {
+                let is_checked = self.now >= self.boxes[from].ready_at;
+                if is_checked {
                     self.reports.push(Report {
                         at: self.now,
-                        holder: (from, life),
+                        holder: (from, incarnation),
                         token,
                         window,
                     });
                 }
                 if answers {
-                    let mail = Mail::Reported {
+                    let message = Message::Reported {
                         to: from,
-                        life,
+                        incarnation,
                         window: number,
                         outcome,
                     };
-                    self.mail.push((self.now + 5, mail));
+                    self.queue.push((self.now + 5, message));
                 }
             }
-            Mail::Reported {
+            Message::Reported {
                 to,
-                life,
+                incarnation,
                 window,
                 outcome,
             } => {
-                if self.is_alive(to, life) {
+                if self.is_same_incarnation(to, incarnation) {
                     let now = self.clocks(to);
                     self.boxes[to].duty.on_reported(window, outcome, now);
                 }
@@ -509,8 +516,8 @@
         }
     }
 
-    fn is_alive(&self, at: usize, life: u64) -> bool {
-        self.boxes[at].is_running && self.boxes[at].holder.incarnation.0 == life
+    fn is_same_incarnation(&self, at: usize, incarnation: u64) -> bool {
+        self.boxes[at].is_running && self.boxes[at].holder.incarnation.0 == incarnation
     }
 
     fn store(&mut self, operation: StoreOperation) -> DutyAnswer {
@@ -536,11 +543,11 @@
         }
     }
 
-    fn judge(&self) -> Played {
-        let mut broken = Vec::new();
-        let mut note = |is_broken: bool, what: Broken| {
-            if is_broken && !broken.contains(&what) {
-                broken.push(what);
+    fn check(&self) -> RunResult {
+        let mut violations = Vec::new();
+        let mut record = |is_violated: bool, what: Violation| {
+            if is_violated && !violations.contains(&what) {
+                violations.push(what);
             }
         };
         let mut tokens: BTreeMap<u64, (usize, u64)> = BTreeMap::new();
@@ -548,63 +555,69 @@
         let mut greatest = 0;
         for report in &self.reports {
             let before = tokens.insert(report.token, report.holder);
-            note(
+            record(
                 before.is_some_and(|of| of != report.holder),
-                Broken::SharedToken,
+                Violation::SharedToken,
             );
-            note(report.token < greatest, Broken::LowerToken);
+            record(report.token < greatest, Violation::LowerToken);
             greatest = greatest.max(report.token);
             let before = counts.insert(report.window.window, &report.window);
-            note(
+            record(
                 before.is_some_and(|of| *of != report.window),
-                Broken::TwoReports,
+                Violation::TwoReports,
             );
         }
-        note(self.acts_by_turns(), Broken::ByTurns);
-        let (right, wrong) = self.count_windows();
-        Played {
-            broken,
-            right,
-            wrong,
+        record(
+            self.has_alternating_holders(),
+            Violation::AlternatingHolders,
+        );
+        let (correct, incorrect) = self.count_windows();
+        RunResult {
+            violations,
+            correct,
+            incorrect,
             reports: self.reports.len(),
         }
     }
 
-    /// Whether a holder acts, another one, and the first again, within the time of a lease.
-    fn acts_by_turns(&self) -> bool {
+    /// Whether a holder reports, then another one, and then the first again within the time of a
+    /// lease.
+    fn has_alternating_holders(&self) -> bool {
         self.reports.iter().enumerate().any(|(place, first)| {
             let soon = self.reports[place..].iter();
-            let soon = soon.take_while(|later| later.at < first.at + LEASE);
+            let soon = soon.take_while(|later| later.at < first.at + LEASE_MS);
             let mut others = soon.skip_while(|later| later.holder == first.holder);
             others.any(|later| later.holder == first.holder)
         })
     }
 
-    /// Windows that were reported in time within a twentieth of the truth, and others; the first ones
-    /// and those that end too late are left out.
+    /// Number of windows that were reported in time with each count within 5% of the true one (or
+    /// within 1), and number of the others. The first windows and those whose report may come after
+    /// the end of the run are left out.
     fn count_windows(&self) -> (u32, u32) {
-        let (mut right, mut wrong) = (0, 0);
-        let first = (BEGIN + 12_000) / LENGTH;
-        let last = (BEGIN + LASTS - LATE) / LENGTH;
+        let (mut correct, mut incorrect) = (0, 0);
+        let first = (START_OF_RUN_MS + 12_000) / WINDOW_MS;
+        let last = (START_OF_RUN_MS + DURATION_MS - REPORT_LIMIT_MS) / WINDOW_MS;
         for window in first..last {
-            let end = (window + 1) * LENGTH - BEGIN;
-            let of_window = |r: &&Report| r.window.window.0 == window && r.at <= end + LATE;
+            let end = (window + 1) * WINDOW_MS - START_OF_RUN_MS;
+            let of_window =
+                |r: &&Report| r.window.window.0 == window && r.at <= end + REPORT_LIMIT_MS;
             let report = self.reports.iter().find(of_window);
-            let is_right = report.is_some_and(|report| {
+            let is_correct = report.is_some_and(|report| {
                 (0..3).all(|number| {
                     let organisation: OrganisationId = format!("org-{number}").parse().unwrap();
-                    let told = report.window.counts.get(&organisation).copied();
-                    let truth = self.began.get(&(window, organisation)).copied();
-                    let (told, truth) = (told.unwrap_or(0), truth.unwrap_or(0));
-                    told.abs_diff(truth) * 20 <= truth.max(20)
+                    let reported = report.window.counts.get(&organisation).copied();
+                    let actual = self.began.get(&(window, organisation)).copied();
+                    let (reported, actual) = (reported.unwrap_or(0), actual.unwrap_or(0));
+                    reported.abs_diff(actual) * 20 <= actual.max(20)
                 })
             });
-            if is_right {
-                right += 1;
+            if is_correct {
+                correct += 1;
             } else {
-                wrong += 1;
+                incorrect += 1;
             }
         }
-        (right, wrong)
+        (correct, incorrect)
     }
 }
--- a/tests/gateway/fixtures.rs
+++ b/tests/gateway/fixtures.rs
@@ -1,6 +1,9 @@
-//! A dispatcher on made-up time, with endpoints and routes by name.
+//! A dispatcher on a simulated clock, with a routing table, endpoints and requests for tests of its
+//! decisions.
+//!
+//! [`World`] hands events to the dispatcher and keeps the actions that the last event caused.
 
-#![allow(dead_code)] // Each test file uses a part of it.
+#![allow(dead_code)] // Each test binary uses only some of these items.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -21,16 +24,16 @@
 use magpiemoor::gateway::dispatch::{DispatchConfig, Dispatcher};
 use magpiemoor::schema::{BoxState, EndpointId, Fingerprint, Incarnation, Micros};
 
-/// The streams' path.
+/// Path prefix of the route for streams.
 pub const STREAMS: &str = "/streams/";
-/// The path of calls that may be repeated.
+/// Path prefix of the route for calls that may run more than once.
 pub const QUOTES: &str = "/quotes/";
-/// The path of calls that run at most once.
+/// Path prefix of the route for calls that run at most once.
 pub const PAYMENTS: &str = "/payments/";
-/// The key of the only organisation.
+/// Key of `shop`, the only organisation.
 pub const KEY: &str = "key-of-shop";
 
-/// A dispatcher and the time it lives in.
+/// A dispatcher, its simulated clock and the actions of the last event.
 pub struct World {
     pub dispatcher: Dispatcher,
     pub now: Micros,
@@ -38,7 +41,7 @@
     next: u64,
 }
 
-/// A policy that allows many retries.
+/// A retry policy whose limit the tests never reach.
 pub const GENEROUS: RetryPolicy = RetryPolicy {
     ratio: 1.0,
     reserve: 1_000.0,
@@ -68,12 +71,12 @@
     table_of(version, &[STREAMS, QUOTES, PAYMENTS])
 }
 
-/// A table with some of the routes.
+/// A routing table with only the given routes.
 pub fn table_of(version: u64, paths: &[&str]) -> RoutingTable {
     table_with(version, paths.iter().map(|path| route(path)).collect())
 }
 
-/// A table whose calls are split over two services.
+/// A routing table that splits calls equally between two services.
 pub fn split_table(first: &str, second: &str) -> RoutingTable {
     let target = |service: &str| Target {
         service: service.parse().unwrap(),
@@ -157,7 +160,7 @@
     }
 }
 
-/// Two engines and two tills in each of two domains.
+/// Two engines and one till in each of two failure domains.
 pub fn endpoints() -> Vec<EndpointSpec> {
     vec![
         endpoint("engine-n1", "engines", "north", 9_001),
@@ -170,12 +173,13 @@
 }
 
 impl World {
-    /// A box that knows nothing yet, in a fleet that starts for the first time.
+    /// A box without a routing table or endpoints, in a fleet that starts for the first time.
     pub fn empty(retries: RetryPolicy) -> Self {
         Self::with(config(retries))
     }
 
-    /// A box that knows nothing yet, in a fleet that starts for the first time or has run before.
+    /// A box without a routing table or endpoints; `first_start` is false if the fleet has run
+    /// before.
     pub fn starting(first_start: bool) -> Self {
         Self::with(DispatchConfig {
             first_start,
@@ -193,7 +197,7 @@
         }
     }
 
-    /// A box with a table and endpoints.
+    /// A box with a routing table and endpoints.
     pub fn ready() -> Self {
         let mut world = Self::empty(GENEROUS);
         world.handle(Event::Table(Arc::new(table(1))));
@@ -210,7 +214,8 @@
         self.now = self.now.after(Duration::from_millis(millis));
     }
 
-    /// Lets time pass with ticks, and gathers what is done meanwhile.
+    /// Advances the clock, handles each tick that falls due, and returns the actions of all of
+    /// them.
     pub fn run(&mut self, millis: u64) -> Vec<Action> {
         let end = self.now.after(Duration::from_millis(millis));
         let mut done = Vec::new();
@@ -243,7 +248,8 @@
         }
     }
 
-    /// Has a request arrive; returns its number and its first sending, if there is one.
+    /// Hands a new request to the dispatcher; returns its number and its first attempt, if one
+    /// starts.
     pub fn arrive(&mut self, path: &str) -> (RequestNumber, Option<Attempt>) {
         let arrival = self.arrival(path);
         self.arrive_as(arrival)
@@ -288,9 +294,9 @@
 pub fn first_attempt(actions: &[Action]) -> Option<Attempt> {
     actions.iter().find_map(|action| match action {
         Action::Command {
-            command: Command::Send(sending),
+            command: Command::Send(attempt),
             ..
-        } => Some((**sending).clone()),
+        } => Some((**attempt).clone()),
         _ => None,
     })
 }
@@ -314,11 +320,11 @@
 }
 
 pub fn commands(actions: &[Action]) -> Vec<&Command> {
-    let told = actions.iter().filter_map(|action| match action {
+    let issued = actions.iter().filter_map(|action| match action {
         Action::Command { command, .. } => Some(command),
         _ => None,
     });
-    told.collect()
+    issued.collect()
 }
 
 pub fn records(actions: &[Action]) -> Vec<&Record> {
@@ -329,12 +335,12 @@
     written.collect()
 }
 
-/// The failure domain of an endpoint of these tests.
+/// Failure domain of an endpoint of [`endpoints`], by its id.
 pub fn domain_of(id: &EndpointId) -> &'static str {
     if id.contains("-n") { "north" } else { "south" }
 }
 
-/// What a box tells that has the first table and runs nothing.
+/// Gossip state of a box that has the first routing table and no running requests.
 pub fn box_state(from: &str, domain: &str, address: &str) -> BoxState {
     BoxState {
         from: from.parse().unwrap(),
@@ -358,7 +364,7 @@
     }
 }
 
-/// A list of endpoints was read.
+/// The event after a complete list of endpoints was read.
 pub fn listed(specs: Vec<EndpointSpec>) -> Event {
     Event::EndpointsListed {
         specs,
@@ -367,7 +373,7 @@
     }
 }
 
-/// Changes of the list were read.
+/// The event after changes of the list of endpoints were read.
 pub fn changed(changes: Vec<EndpointChange>) -> Event {
     Event::EndpointsChanged { changes, at: 2 }
 }
--- a/tests/gateway/fleet.rs
+++ b/tests/gateway/fleet.rs
@@ -1,9 +1,11 @@
-//! A fleet of dispatchers on made-up time, with the links between boxes and the platform's store.
+//! A fleet of dispatchers on a simulated clock, with the network between boxes and the platform's
+//! store.
 //!
-//! Boxes are the real decision code. Datagrams take [`NEAR`] or [`FAR`] and some are lost; fetches
-//! and the store take fixed times. Callers and endpoints answer as the test has them do.
+//! The boxes run the real decision code. A datagram takes [`LOCAL_LATENCY`] or
+//! [`CROSS_DOMAIN_LATENCY`], varied at random, and some are lost; fetches and the store take fixed
+//! times. The tests play the parts of callers and endpoints.
 
-#![allow(dead_code)] // Each test file uses a part of it.
+#![allow(dead_code)] // Each test binary uses only some of these items.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -22,20 +24,20 @@
 
 use super::fixtures;
 
-/// One way between two boxes of a failure domain, with the time until it is handled.
-const NEAR: Duration = Duration::from_millis(2);
-/// One way between two failure domains, the same.
-const FAR: Duration = Duration::from_millis(4);
-/// The share of datagrams that are lost.
-const LOST: f64 = 0.002;
-/// How long a box takes to fetch something from another one.
-const FETCH: Duration = Duration::from_millis(40);
-/// How long the store takes for a whole list.
-const LIST: Duration = Duration::from_millis(30);
-/// How long a watch of the store waits.
-const WATCH: Duration = Duration::from_secs(3);
+/// One-way latency between two boxes of a failure domain, including the time until the datagram is
+/// handled.
+const LOCAL_LATENCY: Duration = Duration::from_millis(2);
+/// One-way latency between two failure domains, including the time until the datagram is handled.
+const CROSS_DOMAIN_LATENCY: Duration = Duration::from_millis(4);
+/// Share of datagrams that are lost.
+const DATAGRAM_LOSS: f64 = 0.002;
+/// Duration of a fetch from a peer.
+const FETCH_TIME: Duration = Duration::from_millis(40);
+/// Response time of the store for a complete list.
+const LIST_TIME: Duration = Duration::from_millis(30);
+/// Interval between two answers of the store to a watch.
+const WATCH_INTERVAL: Duration = Duration::from_secs(3);
 
-/// A box of the fleet.
 pub struct FleetBox {
     pub dispatcher: Dispatcher,
     pub address: SocketAddr,
@@ -44,19 +46,19 @@
     endpoints_at: u64,
     is_watching: bool,
     pub is_running: bool,
-    life: u64,
-    frozen_until: Micros,
+    incarnation: u64,
+    paused_until: Micros,
     tick_at: Micros,
 }
 
-/// What is under way.
+/// What is scheduled for a box.
 #[derive(Clone, Debug)]
-enum Mail {
+enum Scheduled {
     Event(Box<Event>),
     Tick,
-    /// The store answers a box that watches it.
+    /// The store answers the watch of a box.
     Store,
-    /// Another box has answered a fetch.
+    /// A fetch from a peer ends.
     Fetched {
         from: usize,
         kind: FetchKind,
@@ -64,27 +66,26 @@
     Start,
 }
 
-/// A time that a test looks at: when something happened, at which box.
-pub type Seen<T> = Vec<(Micros, usize, T)>;
+/// Observations for tests: time, index of the box, and value.
+pub type Observations<T> = Vec<(Micros, usize, T)>;
 
-/// Boxes, and what is on its way between them.
+/// The boxes and the queue of what is scheduled for them.
 pub struct Fleet {
     pub boxes: Vec<FleetBox>,
     pub now: Micros,
-    /// Each change of who watches the store.
-    pub watching: Seen<bool>,
-    /// Attempts that were begun.
-    pub attempts: Seen<(RequestNumber, Attempt)>,
-    /// Datagrams that were sent.
+    /// Starts (true) and ends (false) of watches of the store.
+    pub watching: Observations<bool>,
+    /// Attempts that boxes started.
+    pub attempts: Observations<(RequestNumber, Attempt)>,
+    /// Number of datagrams sent, including lost ones.
     pub datagrams: u64,
-    /// Bytes of them, as they are encoded.
+    /// Total encoded size of these datagrams in bytes.
     pub bytes: u64,
-    /// Whether the store answers.
     pub store_is_up: bool,
     endpoints: Vec<EndpointSpec>,
     by_address: BTreeMap<SocketAddr, usize>,
-    mail: BinaryHeap<Reverse<(Micros, u64, usize, u64)>>,
-    contents: BTreeMap<u64, Mail>,
+    queue: BinaryHeap<Reverse<(Micros, u64, usize, u64)>>,
+    contents: BTreeMap<u64, Scheduled>,
     sent: u64,
     rng: ChaCha8Rng,
 }
@@ -93,7 +94,7 @@
     SocketAddr::from(([10, domain as u8 + 1, 0, number as u8 + 1], 7_200))
 }
 
-/// Engines, and six tills.
+/// The engines of [`fixtures::endpoints`] and six tills.
 fn endpoints() -> Vec<EndpointSpec> {
     let more = (0..4).map(|n| {
         let id = format!("till-m{n}");
@@ -103,7 +104,8 @@
 }
 
 impl Fleet {
-    /// Boxes that start within 0.3 s of each other in any order; three of them are seeds.
+    /// Boxes that start within 0.3 s of each other in random order; up to three addresses of them
+    /// are the seeds. `domains` has the number of boxes of each failure domain.
     pub fn starting(domains: &[usize], retries: RetryPolicy, seed: u64) -> Self {
         let mut fleet = Self {
             boxes: Vec::new(),
@@ -115,7 +117,7 @@
             store_is_up: true,
             endpoints: endpoints(),
             by_address: BTreeMap::new(),
-            mail: BinaryHeap::new(),
+            queue: BinaryHeap::new(),
             contents: BTreeMap::new(),
             sent: 0,
             rng: ChaCha8Rng::seed_from_u64(seed),
@@ -129,7 +131,7 @@
         fleet
     }
 
-    /// Adds a box that starts within 0.3 s.
+    /// Adds a box that starts within the next 0.3 s.
     pub fn add(
         &mut self,
         domain: usize,
@@ -154,8 +156,8 @@
             endpoints_at: 0,
             is_watching: false,
             is_running: false,
-            life: 0,
-            frozen_until: Micros::ZERO,
+            incarnation: 0,
+            paused_until: Micros::ZERO,
             tick_at: Micros::ZERO,
         });
         self.start_soon(at, Duration::ZERO);
@@ -163,68 +165,68 @@
 
     fn start_soon(&mut self, at: usize, after: Duration) {
         let spread = Duration::from_millis(300).mul_f64(self.rng.random());
-        self.post(at, after + spread, Mail::Start);
+        self.schedule(at, after + spread, Scheduled::Start);
     }
 
-    /// Has all boxes that `which` names lose power, and start again after a while.
+    /// Stops the boxes that `which` selects at once, and restarts each up to 0.3 s after `down`.
     pub fn lose_power(&mut self, down: Duration, which: impl Fn(usize) -> bool) {
         for at in (0..self.boxes.len()).filter(|at| which(*at)) {
             self.boxes[at].is_running = false;
-            self.boxes[at].life += 1;
+            self.boxes[at].incarnation += 1;
             self.start_soon(at, down);
         }
     }
 
-    /// Has a box stand still for a while; what it is sent meanwhile waits.
-    pub fn freeze(&mut self, at: usize, time: Duration) {
-        self.boxes[at].frozen_until = self.now.after(time);
+    /// Pauses the process of a box; whatever falls due meanwhile is handled when it resumes.
+    pub fn pause(&mut self, at: usize, time: Duration) {
+        self.boxes[at].paused_until = self.now.after(time);
     }
 
-    fn post(&mut self, to: usize, after: Duration, mail: Mail) {
+    fn schedule(&mut self, to: usize, after: Duration, item: Scheduled) {
         self.sent += 1;
-        self.contents.insert(self.sent, mail);
-        let life = self.boxes[to].life;
+        self.contents.insert(self.sent, item);
+        let incarnation = self.boxes[to].incarnation;
         let at = self.now.after(after);
-        self.mail.push(Reverse((at, self.sent, to, life)));
+        self.queue.push(Reverse((at, self.sent, to, incarnation)));
     }
 
-    /// Lets time pass.
+    /// Advances the clock and handles everything that falls due.
     pub fn run(&mut self, time: Duration) {
         let end = self.now.after(time);
-        while let Some(Reverse((at, number, to, life))) = self.mail.peek().copied() {
+        while let Some(Reverse((at, number, to, incarnation))) = self.queue.peek().copied() {
             if at > end {
                 break;
             }
-            self.mail.pop();
+            self.queue.pop();
             self.now = at;
-            let Some(mail) = self.contents.remove(&number) else {
+            let Some(item) = self.contents.remove(&number) else {
                 continue;
             };
             let receiver = &self.boxes[to];
-            if receiver.life != life {
+            if receiver.incarnation != incarnation {
                 continue;
             }
-            if receiver.frozen_until > self.now {
-                let rest = receiver.frozen_until.since(self.now);
-                self.post(to, rest, mail);
+            if receiver.paused_until > self.now {
+                let rest = receiver.paused_until.since(self.now);
+                self.schedule(to, rest, item);
                 continue;
             }
-            self.take(to, mail);
+            self.dispatch(to, item);
         }
         self.now = end;
     }
 
-    fn take(&mut self, to: usize, mail: Mail) {
-        match mail {
-            Mail::Start => self.start(to),
-            Mail::Event(event) => self.handle(to, *event),
-            Mail::Tick => {
+    fn dispatch(&mut self, to: usize, item: Scheduled) {
+        match item {
+            Scheduled::Start => self.start(to),
+            Scheduled::Event(event) => self.handle(to, *event),
+            Scheduled::Tick => {
                 if self.boxes[to].tick_at <= self.now {
                     self.handle(to, Event::Tick);
                 }
             }
-            Mail::Store => self.answer_watcher(to),
-            Mail::Fetched { from, kind } => self.answer_fetch(to, from, kind),
+            Scheduled::Store => self.answer_watcher(to),
+            Scheduled::Fetched { from, kind } => self.answer_fetch(to, from, kind),
         }
     }
 
@@ -240,7 +242,7 @@
         self.handle(at, Event::Tick);
     }
 
-    /// Hands an event to a box, and has done what it wants done.
+    /// Hands an event to a box, performs the resulting actions and schedules its next tick.
     pub fn handle(&mut self, at: usize, event: Event) {
         if !self.boxes[at].is_running {
             return;
@@ -252,30 +254,28 @@
         let next = self.boxes[at].dispatcher.next_tick();
         let tick_at = next.max(self.now.after(Duration::from_millis(1)));
         self.boxes[at].tick_at = tick_at;
-        self.post(at, tick_at.since(self.now), Mail::Tick);
+        self.schedule(at, tick_at.since(self.now), Scheduled::Tick);
     }
 
     fn perform(&mut self, at: usize, action: Action) {
         match action {
             Action::Gossip { to, state, .. } => {
-                self.bytes += encoded(&*state) * to.len() as u64;
+                self.bytes += encoded_len(&*state) * to.len() as u64;
                 self.send(at, &to, &Event::Peer(*state));
             }
-            Action::GossipUsage {
-                to, update: news, ..
-            } => {
-                self.bytes += encoded(&news) * to.len() as u64;
-                self.send(at, &to, &Event::PeerUsage(news));
+            Action::GossipUsage { to, update, .. } => {
+                self.bytes += encoded_len(&update) * to.len() as u64;
+                self.send(at, &to, &Event::PeerUsage(update));
             }
             Action::FetchState { from, kind, .. } => {
                 let from = self.by_address[&from];
-                self.post(at, FETCH, Mail::Fetched { from, kind });
+                self.schedule(at, FETCH_TIME, Scheduled::Fetched { from, kind });
             }
             Action::WatchStore(is_watching) => {
                 self.watching.push((self.now, at, is_watching));
                 self.boxes[at].is_watching = is_watching;
                 if is_watching {
-                    self.post(at, LIST, Mail::Store);
+                    self.schedule(at, LIST_TIME, Scheduled::Store);
                 }
             }
             Action::Command {
@@ -292,13 +292,17 @@
             let Some(to) = self.by_address.get(address).copied() else {
                 continue;
             };
-            if self.rng.random_bool(LOST) || !self.boxes[to].is_running {
+            if self.rng.random_bool(DATAGRAM_LOSS) || !self.boxes[to].is_running {
                 continue;
             }
-            let is_near = self.boxes[to].domain == self.boxes[from].domain;
-            let way = if is_near { NEAR } else { FAR };
-            let way = way.mul_f64(self.rng.random_range(0.5..2.0));
-            self.post(to, way, Mail::Event(Box::new(event.clone())));
+            let is_local = self.boxes[to].domain == self.boxes[from].domain;
+            let latency = if is_local {
+                LOCAL_LATENCY
+            } else {
+                CROSS_DOMAIN_LATENCY
+            };
+            let latency = latency.mul_f64(self.rng.random_range(0.5..2.0));
+            self.schedule(to, latency, Scheduled::Event(Box::new(event.clone())));
         }
     }
 
@@ -307,24 +311,24 @@
             return;
         }
         if !self.store_is_up {
-            self.post(at, Duration::from_millis(500), Mail::Store);
+            self.schedule(at, Duration::from_millis(500), Scheduled::Store);
             return;
         }
         self.handle(at, Event::StoreAnswered);
-        self.give(at, FetchKind::Table);
-        self.give(at, FetchKind::Endpoints);
-        self.post(at, WATCH, Mail::Store);
+        self.deliver(at, FetchKind::Table);
+        self.deliver(at, FetchKind::Endpoints);
+        self.schedule(at, WATCH_INTERVAL, Scheduled::Store);
     }
 
     fn answer_fetch(&mut self, at: usize, from: usize, kind: FetchKind) {
         let holder = &self.boxes[from];
-        let has = match kind {
+        let version = match kind {
             FetchKind::Table => holder.dispatcher.table_version().0,
             FetchKind::Endpoints => holder.endpoints_at,
         };
         let address = holder.address;
-        let outcome = if holder.is_running && has > 0 {
-            self.give(at, kind);
+        let outcome = if holder.is_running && version > 0 {
+            self.deliver(at, kind);
             FetchOutcome::Complete
         } else {
             FetchOutcome::Failed
@@ -339,7 +343,7 @@
         );
     }
 
-    fn give(&mut self, at: usize, kind: FetchKind) {
+    fn deliver(&mut self, at: usize, kind: FetchKind) {
         match kind {
             FetchKind::Table => self.handle(at, Event::Table(Arc::new(fixtures::table(1)))),
             FetchKind::Endpoints => {
@@ -350,8 +354,8 @@
         }
     }
 
-    /// How often boxes of a domain began to watch the store, by domain.
-    pub fn begun_to_watch(&self) -> BTreeMap<DomainId, usize> {
+    /// Number of watches of the store that boxes started, by failure domain.
+    pub fn watch_starts(&self) -> BTreeMap<DomainId, usize> {
         let mut found = BTreeMap::new();
         for (_, at, is_watching) in &self.watching {
             let of = found.entry(self.boxes[*at].domain.clone()).or_default();
@@ -360,7 +364,7 @@
         found
     }
 
-    /// How many boxes of each domain watch the store now.
+    /// Number of running boxes that watch the store now, by failure domain.
     pub fn watchers(&self) -> BTreeMap<DomainId, usize> {
         let mut found = BTreeMap::new();
         for found_box in &self.boxes {
@@ -370,7 +374,7 @@
         found
     }
 
-    /// How many boxes are ready for callers.
+    /// Number of running boxes that are ready for callers.
     pub fn ready(&self) -> usize {
         let boxes = self.boxes.iter();
         boxes
@@ -379,6 +383,6 @@
     }
 }
 
-fn encoded(message: &impl serde::Serialize) -> u64 {
+fn encoded_len(message: &impl serde::Serialize) -> u64 {
     postcard::to_stdvec(message).unwrap().len() as u64
 }
--- a/tests/gateway/tills.rs
+++ b/tests/gateway/tills.rs
@@ -1,6 +1,7 @@
-//! A box before tills of two versions, with the object of a roll-out in its hands.
+//! A box with endpoints of the service `till` in two versions, and the store's object of a
+//! roll-out.
 
-#![allow(dead_code)] // Each test file uses a part of it.
+#![allow(dead_code)] // Each test binary uses only some of these items.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,10 +14,10 @@
 
 use super::fixtures::{self, GENEROUS, QUOTES, World, endpoint, listed, table};
 
-/// Longer than news gather before peers are told.
+/// Longer than the time for which updates are collected before they are published to peers.
 pub const LONG_PAUSE: Duration = Duration::from_millis(50);
 
-/// A till of a version.
+/// An endpoint of the service `till` in the given version.
 pub fn till(version: &str, number: u16) -> EndpointSpec {
     EndpointSpec {
         version: version.parse().unwrap(),
@@ -29,8 +30,8 @@
     }
 }
 
-/// A box before two tills of the old version and two of the new, that watches the store.
-pub fn before_tills() -> World {
+/// A box that watches the store and has two tills of version v1 and two of v2.
+pub fn with_tills() -> World {
     let mut world = World::empty(GENEROUS);
     world.handle(Event::Table(std::sync::Arc::new(table(1))));
     let tills = [till("v1", 1), till("v1", 2), till("v2", 3), till("v2", 4)];
@@ -58,7 +59,7 @@
     }
 }
 
-/// The store's object is read.
+/// Hands the object, as read from the store, to the box; returns the resulting actions.
 pub fn read(world: &mut World, object: ObjectState) -> Vec<Action> {
     world.handle(Event::Rollouts {
         objects: vec![object],
@@ -81,8 +82,8 @@
     world.dispatcher.rollouts().of(&service).map(Rollout::phase)
 }
 
-/// Sends calls for a while, a hundred a second; the new version fails a part of them. Returns how many
-/// went to each version, and what was done meanwhile.
+/// Sends one call every 10 ms for `millis`. Of every ten calls `new_fails` fail if they are sent to
+/// v2. Returns the number of attempts by version, and all actions.
 pub fn call(
     world: &mut World,
     millis: u64,
@@ -115,8 +116,8 @@
     (sent_to, done)
 }
 
-/// What was told to peers of roll-outs.
-pub fn told_states(actions: &[Action]) -> Vec<RolloutState> {
+/// States of roll-outs that were published to peers.
+pub fn published_states(actions: &[Action]) -> Vec<RolloutState> {
     let states = actions.iter().filter_map(|action| match action {
         Action::Gossip { state, .. } => Some(state.rollouts.clone()),
         _ => None,
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -33,7 +33,7 @@
 fn of_boxes_that_start_together_few_read_the_store(#[case] seed: u64) {
     let mut fleet = Fleet::starting(&DOMAINS, GENEROUS, seed);
     fleet.run(seconds(3));
-    let begun = fleet.begun_to_watch();
+    let begun = fleet.watch_starts();
     assert!(
         begun.values().all(|begun| *begun <= MOST_READERS),
         "{begun:?}"
@@ -61,7 +61,7 @@
     fleet.run(down + ALL_READY);
     assert_eq!(fleet.ready(), DOMAINS.iter().sum::<usize>());
     fleet.run(seconds(3));
-    let begun = fleet.begun_to_watch();
+    let begun = fleet.watch_starts();
     assert!(
         begun.values().all(|begun| *begun <= MOST_READERS),
         "{begun:?}"
@@ -133,7 +133,7 @@
     fleet.run(seconds(3));
     let frozen = 29;
     fleet.watching.clear();
-    fleet.freeze(frozen, seconds(20));
+    fleet.pause(frozen, seconds(20));
     fleet.run(Duration::from_millis(20_010));
     assert_eq!(fleet.boxes[frozen].dispatcher.known_boxes().0, 30);
     fleet.run(seconds(2));
--- a/tests/rollout_end.rs
+++ b/tests/rollout_end.rs
@@ -15,12 +15,12 @@
 use magpiemoor::schema::{BoxState, RolloutPhase, RolloutState};
 use rstest::rstest;
 use tills::{
-    LONG_PAUSE, before_tills, call, object, order, phase, read, till, told_states, writes,
+    LONG_PAUSE, call, object, order, phase, published_states, read, till, with_tills, writes,
 };
 
 #[test]
 fn an_order_that_is_finished_moves_nothing() {
-    let mut world = before_tills();
+    let mut world = with_tills();
     read(
         &mut world,
         object(order("v2", 6), 10, Some(RolloutStatus::Completed)),
@@ -44,16 +44,16 @@
 #[case::completed(RolloutStatus::Completed)]
 #[case::rolled_back(RolloutStatus::RolledBack)]
 fn a_finished_order_is_told_without_answers_and_needs_no_ticks(#[case] status: RolloutStatus) {
-    let mut world = before_tills();
+    let mut world = with_tills();
     world.handle(Event::Peer(box_state("box-3", "north", "127.0.0.8:7200")));
     world.handle(Event::Peer(box_state("box-2", "south", "127.0.0.9:7200")));
     read(&mut world, object(order("v2", 12), 10, None));
     let (_, done) = call(&mut world, 2_000, 0);
-    let told = told_states(&done);
+    let told = published_states(&done);
     assert!(told.iter().any(|state| !state.tallies.is_empty()));
     read(&mut world, object(order("v2", 12), 11, Some(status)));
     let (_, done) = call(&mut world, 1_000, 0);
-    let told = told_states(&done);
+    let told = published_states(&done);
     assert!(!told.is_empty());
     assert!(told.iter().all(|state| state.tallies.is_empty()));
     assert_eq!(told_notes(&done), 0);
@@ -66,7 +66,7 @@
 
 /// A box before tills with an order that switches, and which another box of its domain holds up.
 fn switching() -> World {
-    let mut world = before_tills();
+    let mut world = with_tills();
     read(&mut world, object(order("v2", 12), 10, None));
     call(&mut world, 10_000, 0);
     world.handle(Event::Peer(box_state("box-3", "north", "127.0.0.8:7200")));
--- a/tests/rollouts.rs
+++ b/tests/rollouts.rs
@@ -14,13 +14,13 @@
 use magpiemoor::schema::{BoxState, RolloutPhase, RolloutState};
 use rstest::rstest;
 use tills::{
-    LONG_PAUSE, before_tills, call, object, order, phase, read, till, told_states, writes,
+    LONG_PAUSE, call, object, order, phase, published_states, read, till, with_tills, writes,
 };
 
 /// Sites without roll-outs read an empty list each time that a watcher begins.
 #[test]
 fn an_empty_list_of_orders_has_nobody_told() {
-    let mut world = before_tills();
+    let mut world = with_tills();
     world.run(10_000);
     // Just after a message to peers the next one is not due for long.
     let is_due_later = |world: &World| world.dispatcher.next_tick() > world.now.after(LONG_PAUSE);
@@ -41,7 +41,7 @@
 
 #[test]
 fn without_an_order_versions_are_served_alike() {
-    let mut world = before_tills();
+    let mut world = with_tills();
     let (sent, done) = call(&mut world, 2_000, 0);
     assert!(sent["v1"] > 50 && sent["v2"] > 50, "{sent:?}");
     assert_eq!(writes(&done), []);
@@ -61,7 +61,7 @@
 #[case::without(false)]
 #[case::with(true)]
 fn an_attempt_counts_once_it_has_a_connection(#[case] is_connected: bool) {
-    let mut world = before_tills();
+    let mut world = with_tills();
     world.handle(Event::Peer(box_state("box-3", "north", "127.0.0.8:7200")));
     read(&mut world, object(order("v2", 12), 10, None));
     call(&mut world, 1_000, 0);
@@ -81,7 +81,7 @@
 
 #[test]
 fn a_version_gets_its_share_then_all_and_the_store_says_so() {
-    let mut world = before_tills();
+    let mut world = with_tills();
     let done = read(&mut world, object(order("v2", 12), 10, None));
     assert_eq!(phase(&world), Some(RolloutPhase::Canary));
     let (sent, more) = call(&mut world, 10_500, 0);
@@ -116,7 +116,7 @@
 
 #[test]
 fn a_bad_version_is_left_by_itself_and_the_store_is_told_when_it_answers() {
-    let mut world = before_tills();
+    let mut world = with_tills();
     read(&mut world, object(order("v2", 12), 10, None));
     let (_, done) = call(&mut world, 6_000, 6);
     assert_eq!(phase(&world), Some(RolloutPhase::Bad));
@@ -142,7 +142,7 @@
 
 #[test]
 fn a_write_that_met_another_revision_waits_for_the_object() {
-    let mut world = before_tills();
+    let mut world = with_tills();
     read(&mut world, object(order("v2", 12), 10, None));
     let first = writes(&world.run(300));
     assert_eq!(first.len(), 1, "one write at a time: {first:?}");
@@ -154,17 +154,17 @@
 /// Times go to peers as milliseconds in 32 bits.
 #[test]
 fn an_order_for_months_is_told_as_no_shorter_one() {
-    let mut world = before_tills();
+    let mut world = with_tills();
     world.handle(Event::Peer(box_state("box-2", "south", "127.0.0.9:7200")));
     read(&mut world, object(order("v2", 5_000_000), 10, None));
-    let told = told_states(&world.run(1_000));
+    let told = published_states(&world.run(1_000));
     assert!(!told.is_empty());
     assert!(told.iter().all(|state| state.duration_ms == u32::MAX));
 }
 
 #[test]
 fn a_decision_once_told_never_goes_back() {
-    let mut world = before_tills();
+    let mut world = with_tills();
     read(&mut world, object(order("v2", 12), 10, None));
     let told = |phase| {
         let state = RolloutState {
@@ -197,7 +197,7 @@
 
 #[test]
 fn a_second_order_for_the_service_takes_the_place_of_the_first() {
-    let mut world = before_tills();
+    let mut world = with_tills();
     read(&mut world, object(order("v2", 12), 10, None));
     call(&mut world, 6_000, 6);
     assert_eq!(phase(&world), Some(RolloutPhase::Bad));
@@ -210,7 +210,7 @@
 
 #[test]
 fn an_order_whose_object_is_gone_is_forgotten() {
-    let mut world = before_tills();
+    let mut world = with_tills();
     read(&mut world, object(order("v2", 12), 10, None));
     world.handle(Event::Rollouts {
         objects: Vec::new(),
@@ -224,7 +224,7 @@
 
 #[test]
 fn a_target_without_endpoints_costs_no_request() {
-    let mut world = before_tills();
+    let mut world = with_tills();
     read(&mut world, object(order("v9", 6), 10, None));
     let (sent, done) = call(&mut world, 8_000, 0);
     assert!(sent.values().sum::<u32>() >= 800);
@@ -242,7 +242,7 @@
 
 #[test]
 fn where_only_the_target_is_left_it_serves() {
-    let mut world = before_tills();
+    let mut world = with_tills();
     read(&mut world, object(order("v2", 12), 10, None));
     world.run(100);
     world.handle(listed(vec![till("v2", 3), till("v2", 4)]));
