--- a/tests/dispatch.rs
+++ b/tests/dispatch.rs
@@ -1,4 +1,5 @@
-//! The dispatcher's decisions about requests and what it tells and asks peers, on made-up time.
+//! The dispatcher's decisions about requests, and what it publishes to peers and fetches from them,
+//! on a simulated clock.
 
 #[path = "gateway/fixtures.rs"]
 mod fixtures;
@@ -39,7 +40,7 @@
 #[case::connection_failed(Outcome::NotSent)]
 #[case::no_room(NOT_RUN)]
 #[case::other_instance(MISDIRECTED)]
-fn a_call_that_runs_once_goes_elsewhere_only_if_it_has_not_run(#[case] outcome: Outcome) {
+fn a_call_that_runs_once_is_retried_elsewhere_only_if_it_has_not_run(#[case] outcome: Outcome) {
     let mut world = World::ready();
     let (request, first) = world.arrive(PAYMENTS);
     let first = first.unwrap();
@@ -52,7 +53,7 @@
 #[case::closed(CLOSED)]
 #[case::malformed(Outcome::Broken(Fault::Malformed))]
 #[case::foreign(Outcome::Broken(Fault::Foreign))]
-fn a_call_that_runs_once_and_may_have_run_is_given_up_at_once(#[case] outcome: Outcome) {
+fn a_call_that_runs_once_and_may_have_run_is_refused_at_once(#[case] outcome: Outcome) {
     let mut world = World::ready();
     let (request, first) = world.arrive(PAYMENTS);
     world.end(request, first.unwrap().attempt, outcome);
@@ -61,7 +62,7 @@
 }
 
 #[test]
-fn a_call_that_runs_once_is_not_said_to_be_unrun_after_it_was_sent() {
+fn a_call_that_runs_once_is_not_reported_as_not_run_after_it_was_sent() {
     let mut world = World::ready();
     let (_, first) = world.arrive(PAYMENTS);
     assert!(first.is_some());
@@ -80,7 +81,7 @@
 }
 
 #[test]
-fn retries_end_with_the_budget() {
+fn retries_stop_when_the_budget_is_used_up() {
     let policy = RetryPolicy {
         ratio: 0.5,
         reserve: 0.0,
@@ -102,7 +103,7 @@
 }
 
 #[test]
-fn the_time_that_is_left_is_the_smaller_of_callers_and_routes() {
+fn the_time_left_is_limited_by_both_the_caller_and_the_route() {
     let mut world = World::ready();
     let mut arrival = world.arrival(QUOTES);
     arrival.timeout = Some(Duration::from_millis(300));
@@ -122,7 +123,9 @@
 #[rstest]
 #[case::leaving(true)]
 #[case::no_longer_listed(false)]
-fn an_endpoint_that_goes_gets_no_new_work_but_finishes_what_it_has(#[case] is_listed: bool) {
+fn a_leaving_or_removed_endpoint_gets_no_new_requests_but_finishes_its_own(
+    #[case] is_listed: bool,
+) {
     let mut world = World::ready();
     let (request, first) = world.arrive(STREAMS);
     let first = first.unwrap();
@@ -147,7 +150,7 @@
 }
 
 #[test]
-fn an_endpoint_whose_address_has_another_owner_is_gone() {
+fn an_endpoint_whose_address_has_another_owner_gets_no_requests() {
     let mut world = World::ready();
     let (_, first) = world.arrive(PAYMENTS);
     let first = first.unwrap();
@@ -175,7 +178,7 @@
 }
 
 #[test]
-fn a_caller_that_left_is_forgotten() {
+fn the_request_of_a_disconnected_caller_is_removed() {
     let mut world = World::ready();
     let (request, first) = world.arrive(STREAMS);
     world.handle(Event::CallerDisconnected(request));
@@ -185,29 +188,29 @@
 }
 
 #[test]
-fn a_peer_with_a_newer_table_is_asked_for_it() {
+fn a_newer_table_is_requested_from_the_peer_that_has_it() {
     let mut world = World::ready();
     world.handle(Event::Peer(peer("box-2", 9, &[])));
-    let asked = world.actions.iter().find_map(|action| match action {
+    let requested = world.actions.iter().find_map(|action| match action {
         Action::FetchState { from, wanted, .. } => Some((*from, wanted.table_after)),
         _ => None,
     });
-    assert_eq!(asked, Some(("127.0.0.2:7200".parse().unwrap(), 1)));
+    assert_eq!(requested, Some(("127.0.0.2:7200".parse().unwrap(), 1)));
 }
 
 #[test]
-fn a_box_that_knows_nothing_asks_its_peers_for_endpoints_too() {
+fn a_box_without_state_requests_endpoints_from_its_peers_too() {
     let mut world = World::empty(GENEROUS);
     let mut state = peer("box-2", 9, &[]);
     state.endpoints_at = 7;
     world.handle(Event::Peer(state));
-    let asked = world.actions.iter().any(
+    let requested = world.actions.iter().any(
         |action| matches!(action, Action::FetchState { wanted, .. } if wanted.endpoints_after == 0),
     );
-    assert!(asked);
+    assert!(requested);
 }
 
-/// The only peer's address has been asked, and that ended.
+/// The end of a fetch from the address that all peers of these tests have.
 fn fetch_ended(kind: FetchKind, outcome: FetchOutcome) -> Event {
     Event::Fetched {
         kind,
@@ -224,8 +227,9 @@
     kinds.collect()
 }
 
-/// Hears of a newer table and newer endpoints from box after box.
-fn hear_of_news(world: &mut World, number: u64) -> Vec<FetchKind> {
+/// A peer reports a newer table and newer endpoints than all before; returns the fetches that
+/// start.
+fn receive_newer_versions(world: &mut World, number: u64) -> Vec<FetchKind> {
     let mut state = peer(&format!("box-{number}"), 10 + number, &[]);
     state.endpoints_at = 10 + number;
     world.handle(Event::Peer(state));
@@ -233,55 +237,65 @@
 }
 
 #[test]
-fn a_table_is_asked_for_apart_from_endpoints() {
+fn a_slow_fetch_of_endpoints_does_not_delay_the_table() {
     let mut world = World::empty(GENEROUS);
     assert_eq!(
-        hear_of_news(&mut world, 2),
+        receive_newer_versions(&mut world, 2),
         vec![FetchKind::Table, FetchKind::Endpoints]
     );
-    // A list of thousands of endpoints may be under way for long; the table doesn't wait for it.
+    // Fetching thousands of endpoints may take long; the fetch of the table does not wait for it.
     world.handle(fetch_ended(FetchKind::Table, FetchOutcome::Complete));
     world.pass(150);
-    assert_eq!(hear_of_news(&mut world, 3), vec![FetchKind::Table]);
+    assert_eq!(
+        receive_newer_versions(&mut world, 3),
+        vec![FetchKind::Table]
+    );
 }
 
 #[test]
-fn one_question_of_a_kind_is_under_way_at_a_time() {
+fn only_one_fetch_of_a_kind_is_in_progress_at_a_time() {
     let mut world = World::empty(GENEROUS);
-    hear_of_news(&mut world, 2);
+    receive_newer_versions(&mut world, 2);
     for number in 3..30 {
         world.pass(20);
-        assert_eq!(hear_of_news(&mut world, number), Vec::new());
+        assert_eq!(receive_newer_versions(&mut world, number), Vec::new());
     }
     world.handle(fetch_ended(FetchKind::Endpoints, FetchOutcome::Complete));
-    assert_eq!(hear_of_news(&mut world, 40), Vec::new(), "a pause follows");
+    assert_eq!(
+        receive_newer_versions(&mut world, 40),
+        Vec::new(),
+        "the next fetch starts after a pause"
+    );
     world.pass(100);
-    assert_eq!(hear_of_news(&mut world, 41), vec![FetchKind::Endpoints]);
+    assert_eq!(
+        receive_newer_versions(&mut world, 41),
+        vec![FetchKind::Endpoints]
+    );
 }
 
 #[test]
-fn a_question_that_nobody_answers_is_given_up_after_a_while() {
+fn a_fetch_without_an_answer_times_out() {
     let mut world = World::empty(GENEROUS);
-    hear_of_news(&mut world, 2);
+    receive_newer_versions(&mut world, 2);
     world.pass(3_000);
     assert_eq!(
-        hear_of_news(&mut world, 3),
+        receive_newer_versions(&mut world, 3),
         vec![FetchKind::Table, FetchKind::Endpoints]
     );
 }
 
 #[test]
-fn a_loss_is_told_to_peers_at_once() {
+fn a_lost_endpoint_is_reported_to_peers_at_once() {
     let mut world = World::ready();
     world.run(301);
     let (request, first) = world.arrive(STREAMS);
     let first = first.unwrap();
     world.end(request, first.attempt, CLOSED);
     let done = world.run(30);
-    let told = done.iter().any(
+    let is_reported = done.iter().any(
         |action| matches!(action, Action::Gossip { state, .. } if state.lost == [first.endpoint.clone().into()]),
     );
-    assert!(told);
+    assert!(is_reported);
 }
 
 #[test]
@@ -304,13 +318,13 @@
 }
 
 #[test]
-fn a_peer_that_knows_newer_endpoints_is_asked_for_them() {
+fn newer_endpoints_are_requested_from_the_peer_that_has_them() {
     let mut world = World::ready();
     let mut state = peer("box-2", 1, &[]);
     state.endpoints_at = 50;
     world.handle(Event::Peer(state));
-    let asked = world.actions.iter().any(
+    let requested = world.actions.iter().any(
         |action| matches!(action, Action::FetchState { wanted, .. } if wanted.endpoints_after == 1),
     );
-    assert!(asked);
+    assert!(requested);
 }
--- a/tests/outages.rs
+++ b/tests/outages.rs
@@ -1,5 +1,5 @@
-//! What a box believes of a failure domain of which several engines were lost at once, on made-up
-//! time.
+//! Which engines a box suspects after several engines of a failure domain were lost at once, on a
+//! simulated clock.
 
 #[path = "gateway/fixtures.rs"]
 mod fixtures;
@@ -25,7 +25,7 @@
     name.parse().unwrap()
 }
 
-/// Four engines of the north, two of which were lost just now.
+/// Four engines in failure domain `north`, two of which were lost at [`START`].
 fn with_two_lost() -> Fleet {
     let mut fleet = Fleet::default();
     let specs = (1..=4).map(|n| engine(&format!("engine-{n}"), 9_000 + n));
@@ -35,7 +35,7 @@
     fleet
 }
 
-fn asked(fleet: &mut Fleet, at: Micros) -> usize {
+fn identity_requests(fleet: &mut Fleet, at: Micros) -> usize {
     let north: DomainId = "north".parse().unwrap();
     fleet.take_due_identity_requests(&north, at).len()
 }
@@ -45,15 +45,19 @@
 }
 
 #[test]
-fn losses_that_go_on_do_not_put_off_the_question_who_has_their_addresses_now() {
+fn further_losses_do_not_delay_the_identity_requests() {
     let mut fleet = with_two_lost();
-    assert_eq!(asked(&mut fleet, after(1_300)), 0, "they still start");
+    assert_eq!(
+        identity_requests(&mut fleet, after(1_300)),
+        0,
+        "new engines may still be starting"
+    );
     fleet.on_failure(&id("engine-3"), after(1_000));
-    assert_eq!(asked(&mut fleet, after(1_450)), 4);
+    assert_eq!(identity_requests(&mut fleet, after(1_450)), 4);
 }
 
 #[test]
-fn an_engine_that_came_up_meanwhile_is_not_suspected_for_the_dead_ones() {
+fn an_engine_that_started_during_an_outage_is_not_suspected() {
     let mut fleet = with_two_lost();
     let successor = engine("engine-1b", 9_001);
     fleet.apply_change(EndpointChange::Present(successor), after(1_500));
@@ -64,7 +68,7 @@
 }
 
 #[test]
-fn losses_of_engines_that_came_up_meanwhile_are_another_outage() {
+fn losses_of_engines_that_started_during_an_outage_are_another_outage() {
     let mut fleet = with_two_lost();
     for (n, port) in [(5, 9_005), (6, 9_006), (7, 9_007)] {
         let spec = engine(&format!("engine-{n}"), port);
@@ -77,7 +81,7 @@
 }
 
 #[test]
-fn an_outage_is_over_after_a_while_and_the_next_losses_are_another_one() {
+fn an_outage_ends_after_some_time_and_later_losses_are_another_one() {
     let mut fleet = with_two_lost();
     assert!(!is_suspected(&fleet, "engine-4", after(4_600)));
     fleet.on_failure(&id("engine-1"), after(10_000));
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -1,4 +1,5 @@
-//! The order that the costs of placement must keep.
+//! Placement prefers endpoints by the order of its costs; a changed constant must not change that
+//! order.
 
 use magpiemoor::gateway::dispatch::placement::costs::{
     AVOIDED, ENGINE_RUNNING, FAILING, FULL, NO_MEMORY, OTHER_DOMAIN_ENGINE, OTHER_DOMAIN_PLAIN,
@@ -24,7 +25,7 @@
 }
 
 #[test]
-fn a_mirror_rather_stands_at_a_full_host_than_in_the_domain_of_its_attempt() {
+fn a_mirror_prefers_a_full_endpoint_over_one_in_the_domain_of_its_attempt() {
     const { assert!(SAME_DOMAIN_AS_ATTEMPT > FULL && SAME_DOMAIN_AS_ATTEMPT < NO_MEMORY) };
 }
 
--- a/tests/restarts.rs
+++ b/tests/restarts.rs
@@ -1,4 +1,7 @@
-//! Callers that lost their box before their first event, on made-up time.
+//! Callers that lost their box before the first event of their stream, on a simulated clock.
+//!
+//! The engine may still run such a stream, so a restarted box searches the engines for the prompt
+//! before it starts an attempt.
 
 #[path = "gateway/fixtures.rs"]
 mod fixtures;
@@ -11,7 +14,7 @@
 use magpiemoor::gateway::dispatch::event::Event;
 use rstest::rstest;
 
-/// A box that has just started with a table and endpoints.
+/// A box that has just started and has a routing table and endpoints.
 fn started(first_start: bool) -> World {
     let mut world = World::empty(GENEROUS);
     let mut cfg = config(GENEROUS);
@@ -32,7 +35,7 @@
 #[case::restart(false, 100, STREAMS, true)]
 #[case::long_after_a_restart(false, 6_000, STREAMS, false)]
 #[case::a_call(false, 100, QUOTES, false)]
-fn a_box_that_starts_again_looks_for_the_prompts_of_streams(
+fn a_restarted_box_searches_the_engines_for_prompts_of_streams(
     #[case] first_start: bool,
     #[case] after_ms: u64,
     #[case] path: &str,
--- a/tests/retry.rs
+++ b/tests/retry.rs
@@ -1,4 +1,5 @@
-//! The rules after an attempt, and of giving up, as tables.
+//! Decision tables: what follows an attempt, by its outcome, and with which reason a request is
+//! refused.
 
 use std::time::Duration;
 
@@ -7,7 +8,7 @@
 use magpiemoor::gateway::dispatch::retry::{AfterAttempt, after_attempt};
 use rstest::rstest;
 
-const SILENT: Outcome = Outcome::Broken(Fault::Silent);
+const STALLED: Outcome = Outcome::Broken(Fault::Silent);
 const NO_ROOM: Outcome = Outcome::NotRun(NotRunCause::NoRoom);
 const MISDIRECTED: Outcome = Outcome::NotRun(NotRunCause::OtherInstance(None));
 
@@ -19,15 +20,15 @@
 #[case::callers_fault(Outcome::Answered { status: 499 }, AfterAttempt::Deliver, AfterAttempt::Deliver)]
 #[case::servers_fault(Outcome::Answered { status: 500 }, AfterAttempt::RetryOrDeliver, AfterAttempt::Deliver)]
 #[case::stream_ended(Outcome::StreamEnded, AfterAttempt::Finish, AfterAttempt::Finish)]
-#[case::broken(SILENT, AfterAttempt::Retry, AfterAttempt::GiveUp)]
+#[case::broken(STALLED, AfterAttempt::Retry, AfterAttempt::GiveUp)]
 #[case::stopped(Outcome::Stopped, AfterAttempt::Retry, AfterAttempt::GiveUp)]
 fn what_follows_depends_on_the_outcome_and_on_whether_it_may_run_again(
     #[case] outcome: Outcome,
-    #[case] if_it_may: AfterAttempt,
-    #[case] if_not: AfterAttempt,
+    #[case] if_may_run_again: AfterAttempt,
+    #[case] if_may_not_run_again: AfterAttempt,
 ) {
-    assert_eq!(after_attempt(&outcome, true), if_it_may);
-    assert_eq!(after_attempt(&outcome, false), if_not);
+    assert_eq!(after_attempt(&outcome, true), if_may_run_again);
+    assert_eq!(after_attempt(&outcome, false), if_may_not_run_again);
 }
 
 #[rstest]
@@ -43,16 +44,16 @@
     RefusalReason::Expired,
     false
 )]
-fn only_what_has_not_run_is_asked_to_come_back(
+fn only_requests_that_have_not_run_are_refused_with_a_retry_after(
     #[case] has_run: HasRun,
     #[case] without_attempt: RefusalReason,
     #[case] expired: RefusalReason,
-    #[case] comes_back: bool,
+    #[case] has_retry_after: bool,
 ) {
     assert_eq!(RefusalReason::without_attempt(has_run), without_attempt);
     assert_eq!(RefusalReason::when_expired(has_run), expired);
     for reason in [without_attempt, expired] {
-        assert_eq!(Refusal::new(reason).retry_after.is_some(), comes_back);
+        assert_eq!(Refusal::new(reason).retry_after.is_some(), has_retry_after);
     }
 }
 
