--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn a_table_only_gives_way_to_a_newer_one() {
+fn a_table_is_only_replaced_by_a_newer_one() {
     let mut world = World::ready();
     world.handle(Event::Table(Arc::new(table_of(5, &[QUOTES]))));
     world.handle(Event::Table(Arc::new(table(4))));
--- a/tests/copies.rs
+++ b/tests/copies.rs
@@ -1,4 +1,4 @@
-//! Copies of the memory of streams that run, on made-up time.
+//! Copies of the memory of running streams, on a simulated clock.
 
 #[path = "gateway/fixtures.rs"]
 mod fixtures;
@@ -25,7 +25,7 @@
     found.expect("an endpoint has this port").id
 }
 
-/// The holders that engines were asked to copy runs to.
+/// The holders that engines were requested to copy runs to.
 fn wanted(actions: &[Action]) -> Vec<EndpointId> {
     let holders = actions.iter().filter_map(|action| match action {
         Action::TakeSnapshot(wanted) => Some(wanted.host.clone()),
@@ -39,11 +39,11 @@
     actions.iter().filter(is_drop).count()
 }
 
-fn gone(id: &EndpointId) -> Event {
+fn removed(id: &EndpointId) -> Event {
     changed(vec![EndpointChange::Absent(id.clone())])
 }
 
-/// Streams for a while, an event each 25 ms; returns what was done meanwhile.
+/// Streams for `millis`, one event each 25 ms; returns the actions of that time.
 fn stream(world: &mut World, request: RequestNumber, run: &Attempt, millis: u64) -> Vec<Action> {
     let mut done = Vec::new();
     for step in 0..millis / 25 {
@@ -53,7 +53,7 @@
     done
 }
 
-/// A stream that runs, and the holder that its engine copies it to.
+/// A running stream, and the holder that its engine copies it to.
 fn streaming() -> (World, RequestNumber, Attempt, EndpointId) {
     let mut world = World::ready();
     let (request, run) = world.arrive(STREAMS);
@@ -72,10 +72,10 @@
     }
 }
 
-/// A stream whose first holder has gone, and the one that holds a copy in its place.
+/// A stream whose first holder was removed, and the holder of the copy that replaces it.
 fn with_another_copy() -> (World, RequestNumber, Attempt, EndpointId) {
     let (mut world, request, run, holder) = streaming();
-    world.handle(gone(&holder));
+    world.handle(removed(&holder));
     let done = stream(&mut world, request, &run, 400);
     let second = wanted(&done).remove(0);
     world.handle(copied(request, &run, &second, Some("copy-1")));
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_copy_that_stands_well_is_left_alone() {
+fn a_well_placed_copy_is_kept() {
     let (mut world, request, run, _) = streaming();
     let done = stream(&mut world, request, &run, 3_000);
     assert_eq!(wanted(&done), Vec::<EndpointId>::new());
@@ -92,7 +92,7 @@
 #[test]
 fn a_run_whose_holder_is_lost_is_copied_elsewhere_outside_its_domain() {
     let (mut world, request, run, holder) = streaming();
-    world.handle(gone(&holder));
+    world.handle(removed(&holder));
     let done = stream(&mut world, request, &run, 400);
     let holders = wanted(&done);
     assert_eq!(holders.len(), 1, "one copy at a time");
@@ -105,12 +105,12 @@
     let mut world = World::ready();
     let (_, run) = world.arrive(STREAMS);
     let holder = at_port(run.unwrap().mirror_to.unwrap().port());
-    world.handle(gone(&holder));
+    world.handle(removed(&holder));
     assert_eq!(wanted(&world.run(300)), Vec::<EndpointId>::new());
 }
 
 #[test]
-fn a_stream_goes_on_from_the_copy_that_was_asked_for() {
+fn a_stream_resumes_from_the_requested_copy() {
     let (mut world, request, run, second) = with_another_copy();
     world.end(request, run.attempt, CLOSED);
     let next = first_attempt(&world.actions).unwrap();
@@ -131,10 +131,10 @@
     // The run and its first copy end up in the same domain, so another copy is made.
     let mut world = World::empty(GENEROUS);
     world.handle(Event::Table(Arc::new(table(1))));
-    let near = endpoints()
+    let local = endpoints()
         .into_iter()
         .filter(|e| domain_of(&e.id) == "north");
-    world.handle(listed(near.collect()));
+    world.handle(listed(local.collect()));
     let (request, run) = world.arrive(STREAMS);
     let run = run.unwrap();
     let first = at_port(run.mirror_to.unwrap().port());
@@ -146,10 +146,7 @@
     world.handle(copied(request, &run, &second, Some("copy-1")));
     world.end(request, run.attempt, CLOSED);
     let next = first_attempt(&world.actions).unwrap();
-    assert_eq!(
-        next.endpoint, second,
-        "the one that stands better comes first"
-    );
+    assert_eq!(next.endpoint, second, "the better placed copy comes first");
     world.end(request, next.attempt, outcome);
     let last = first_attempt(&world.actions).unwrap();
     assert_eq!(last.endpoint, first);
@@ -159,7 +156,7 @@
 #[test]
 fn a_copy_that_could_not_be_made_is_asked_for_again_after_a_pause() {
     let (mut world, request, run, holder) = streaming();
-    world.handle(gone(&holder));
+    world.handle(removed(&holder));
     let done = stream(&mut world, request, &run, 300);
     let second = wanted(&done).remove(0);
     world.handle(copied(request, &run, &second, None));
@@ -168,58 +165,58 @@
 }
 
 #[test]
-fn a_copy_is_kept_young_while_the_run_goes_on() {
+fn a_copy_is_refreshed_while_the_run_continues() {
     let (mut world, request, run, second) = with_another_copy();
-    let mut asked = 0;
+    let mut requested = 0;
     for _ in 0..160 {
         let done = stream(&mut world, request, &run, 25);
         for holder in wanted(&done) {
             assert_eq!(holder, second);
-            asked += 1;
+            requested += 1;
             world.handle(copied(request, &run, &second, Some("copy-1")));
         }
     }
-    assert_eq!(asked, 1, "in four seconds");
+    assert_eq!(requested, 1, "in four seconds");
 }
 
 #[test]
 fn a_run_outside_of_the_own_domain_gets_a_copy_inside_once_it_can() {
     let mut world = World::empty(GENEROUS);
     world.handle(Event::Table(Arc::new(table(1))));
-    let far = vec![
+    let remote = vec![
         endpoint("engine-s1", "engines", "south", 9_003),
         endpoint("engine-w1", "engines", "west", 9_005),
     ];
-    world.handle(listed(far.clone()));
+    world.handle(listed(remote.clone()));
     let (request, run) = world.arrive(STREAMS);
     let run = run.unwrap();
     world.progress(request, run.attempt, 1);
     assert!(wanted(&stream(&mut world, request, &run, 500)).is_empty());
-    let near = endpoint("engine-n1", "engines", "north", 9_001);
-    world.handle(changed(vec![EndpointChange::Present(near.clone())]));
+    let local = endpoint("engine-n1", "engines", "north", 9_001);
+    world.handle(changed(vec![EndpointChange::Present(local.clone())]));
     let done = stream(&mut world, request, &run, 300);
-    assert_eq!(wanted(&done), vec![near.id]);
+    assert_eq!(wanted(&done), vec![local.id]);
 }
 
 #[test]
-fn an_old_copy_is_not_gone_on_from() {
+fn a_stream_does_not_resume_from_an_old_copy() {
     let (mut world, request, run, second) = with_another_copy();
-    // Every further copy fails to be made, and the first one grows old.
+    // Every further copy fails, and the first one becomes old.
     let mut next = run.attempt;
     world.pass(4_500);
     world.progress(request, next, 900);
     world.end(request, next, CLOSED);
     let sent = first_attempt(&world.actions).unwrap();
-    assert_eq!(sent.resume_from, None, "{second} keeps it no longer");
+    assert_eq!(sent.resume_from, None, "{second} no longer holds the copy");
     next = sent.attempt;
     world.end(request, next, CLOSED);
 }
 
 #[test]
-fn a_copy_is_dropped_once_the_one_that_grows_stands_well_again() {
+fn a_copy_is_dropped_once_the_growing_one_is_well_placed_again() {
     let (mut world, request, run, holder) = streaming();
     let spec = endpoints().into_iter().find(|e| e.id == holder).unwrap();
-    world.handle(gone(&holder));
+    world.handle(removed(&holder));
     let done = stream(&mut world, request, &run, 300);
     let second = wanted(&done).remove(0);
     world.handle(copied(request, &run, &second, Some("copy-1")));
@@ -230,7 +227,7 @@
 }
 
 #[test]
-fn a_holder_that_failed_once_is_not_taken_for_lost() {
+fn a_holder_that_failed_once_is_not_assumed_lost() {
     let (mut world, request, run, holder) = streaming();
     let (other, sent) = world.arrive(STREAMS);
     let mut sent = sent.unwrap();
@@ -252,7 +249,7 @@
 }
 
 #[test]
-fn a_copy_is_dropped_when_its_caller_has_left() {
+fn a_copy_is_dropped_when_its_caller_disconnects() {
     let (mut world, request, _, _) = with_another_copy();
     world.handle(Event::CallerDisconnected(request));
     assert_eq!(dropped(&world.actions), 1);
@@ -268,12 +265,12 @@
 }
 
 #[test]
-fn a_lost_run_is_gone_on_from_the_copy_of_the_run_before() {
+fn a_lost_run_resumes_from_the_copy_of_the_previous_run() {
     let (mut world, request, run, second) = with_another_copy();
     world.end(request, run.attempt, CLOSED);
     let resumed = first_attempt(&world.actions).unwrap();
     assert_eq!(resumed.endpoint, second);
-    // It is lost before it has made an event: nothing of it was copied, so the prompt is read.
+    // The run is lost before its first event: nothing of it was copied, so the prompt is read.
     world.end(request, resumed.attempt, CLOSED);
     let third = first_attempt(&world.actions).unwrap();
     assert_eq!(third.resume_from, None);
@@ -282,7 +279,7 @@
 #[test]
 fn a_copy_leaves_a_record() {
     let (mut world, request, run, holder) = streaming();
-    world.handle(gone(&holder));
+    world.handle(removed(&holder));
     let done = stream(&mut world, request, &run, 300);
     let second = wanted(&done).remove(0);
     world.handle(copied(request, &run, &second, Some("copy-1")));
--- a/tests/endpoint_entries.rs
+++ b/tests/endpoint_entries.rs
@@ -1,4 +1,4 @@
-//! Entries of the list of endpoints that name no endpoint to use, on made-up time.
+//! Endpoint list entries that describe no usable endpoint, on a simulated clock.
 
 #[path = "gateway/fixtures.rs"]
 mod fixtures;
@@ -14,7 +14,7 @@
     endpoint.is_some_and(Endpoint::takes_work)
 }
 
-/// The entry of an endpoint turns unreadable, in a change or in a whole list.
+/// Makes the entry of an endpoint unreadable, in a change or in a whole list.
 fn turn_unreadable(world: &mut World, id: &str, in_list: bool) {
     let id = id.parse().unwrap();
     if !in_list {
@@ -47,13 +47,16 @@
     assert!(commands(&world.actions).contains(&&Command::Deliver));
     let spec = endpoints().into_iter().find(|e| e.id == first.endpoint);
     world.handle(changed(vec![EndpointChange::Present(spec.unwrap())]));
-    assert!(takes_work(&world, &first.endpoint), "it can be read again");
+    assert!(
+        takes_work(&world, &first.endpoint),
+        "the entry is readable again"
+    );
 }
 
 #[rstest]
 #[case::in_a_change(false)]
 #[case::in_a_whole_list(true)]
-fn a_stream_goes_on_where_the_entry_turns_unreadable(#[case] in_list: bool) {
+fn a_stream_continues_at_an_endpoint_whose_entry_turns_unreadable(#[case] in_list: bool) {
     let mut world = World::ready();
     let (request, first) = world.arrive(STREAMS);
     let first = first.unwrap();
@@ -65,7 +68,7 @@
 }
 
 #[test]
-fn an_unreadable_entry_of_an_unknown_endpoint_is_nothing() {
+fn an_unreadable_entry_of_an_unknown_endpoint_is_ignored() {
     let mut world = World::ready();
     let id = "engine-x9".parse().unwrap();
     world.handle(changed(vec![EndpointChange::Unreadable(id)]));
@@ -95,11 +98,11 @@
         assert!(takes_work(&world, "engine-z1"));
         assert!(
             !takes_work(&world, "engine-n1"),
-            "a list may name it for long"
+            "a list may contain the old entry for long"
         );
     }
-    let gone = EndpointChange::Absent("engine-z1".parse().unwrap());
-    world.handle(changed(vec![gone]));
+    let removed = EndpointChange::Absent("engine-z1".parse().unwrap());
+    world.handle(changed(vec![removed]));
     assert!(takes_work(&world, "engine-n1"));
 }
 
--- a/tests/gateway_parts.rs
+++ b/tests/gateway_parts.rs
@@ -1,4 +1,4 @@
-//! The parts of a gateway that need no sockets: events, the store's watcher, settings, the log.
+//! Gateway parts that need no sockets: event splitting, the store watcher, settings, headers, messages and the log.
 
 use std::io::Write;
 use std::sync::mpsc::{Receiver, Sender, channel};
@@ -24,7 +24,7 @@
 use rand_chacha::ChaCha8Rng;
 use rstest::rstest;
 
-fn cut(parts: &[&[u8]]) -> (Vec<RawEvent>, EventSplitter) {
+fn split_events(parts: &[&[u8]]) -> (Vec<RawEvent>, EventSplitter) {
     let mut splitter = EventSplitter::default();
     let mut events = Vec::new();
     for part in parts {
@@ -36,13 +36,13 @@
     (events, splitter)
 }
 
-/// A box whose lists and tables are stuck must not count as a watcher by what it hears of roll-outs.
+/// A box whose lists and tables are stuck must not count as a watcher because it receives roll-out changes.
 #[rstest]
 #[case::table(ObjectKind::Table, true, 3, 30)]
 #[case::endpoints(ObjectKind::Endpoints, true, 3, 30)]
 #[case::rollouts(ObjectKind::Rollouts, false, 9, 30)]
 #[case::quarantine(ObjectKind::Quarantine, false, 3, 30)]
-fn orders_of_rollouts_are_watched_longer_and_make_no_watcher(
+fn rollout_orders_are_watched_longer_and_make_no_watcher(
     #[case] kind: ObjectKind,
     #[case] shows_store_access: bool,
     #[case] seconds_of_three: u64,
@@ -61,12 +61,12 @@
 #[case::without_id(&[&b"data: a\n\n"[..]], &[None], false)]
 #[case::two_at_once(&[&b"id: 1\n\nid: 2\n\n"[..]], &[Some(1), Some(2)], false)]
 #[case::no_number(&[&b"id: x\n\n"[..]], &[None], false)]
-fn events_are_cut_whole(
+fn events_are_split_at_their_ends(
     #[case] parts: &[&[u8]],
     #[case] ids: &[Option<u64>],
     #[case] has_incomplete_event: bool,
 ) {
-    let (events, splitter) = cut(parts);
+    let (events, splitter) = split_events(parts);
     let found: Vec<Option<u64>> = events.iter().map(|e| e.id).collect();
     assert_eq!(found, ids);
     assert_eq!(splitter.has_incomplete_event(), has_incomplete_event);
@@ -74,11 +74,11 @@
 
 proptest! {
     #[test]
-    fn cutting_changes_no_byte_however_the_bytes_come(
+    fn splitting_changes_no_byte_however_the_bytes_arrive(
         bytes in proptest::collection::vec(prop_oneof![Just(b'\n'), Just(b'\r'), Just(b'i'), any::<u8>()], 0..400),
         places in proptest::collection::vec(0_usize..400, 0..8),
     ) {
-        let whole: Vec<u8> = cut(&[&bytes]).0.iter().flat_map(|e| e.bytes.to_vec()).collect();
+        let whole: Vec<u8> = split_events(&[&bytes]).0.iter().flat_map(|e| e.bytes.to_vec()).collect();
         prop_assert!(bytes.starts_with(&whole));
         let mut places: Vec<usize> = places.into_iter().map(|p| p.min(bytes.len())).collect();
         places.sort_unstable();
@@ -89,7 +89,7 @@
             from = place;
         }
         parts.push(&bytes[from..]);
-        let torn: Vec<u8> = cut(&parts).0.iter().flat_map(|e| e.bytes.to_vec()).collect();
+        let torn: Vec<u8> = split_events(&parts).0.iter().flat_map(|e| e.bytes.to_vec()).collect();
         prop_assert_eq!(whole, torn);
     }
 }
@@ -163,7 +163,7 @@
 
 #[rstest]
 #[case::history_lost(StoreAnswer::HistoryLost)]
-#[case::cut(StoreAnswer::Failed)]
+#[case::failed(StoreAnswer::Failed)]
 fn a_watch_that_ends_badly_is_followed_by_a_list(#[case] answer: StoreAnswer) {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let mut watcher = Watcher::default();
@@ -172,9 +172,9 @@
     assert_eq!(watcher.next_request(), StoreRequest::List { after: None });
 }
 
-/// The trial made 65,493 calls in 34 s because an unexpected 404 was asked again without a pause.
+/// Guards against retries without a pause: an unexpected 404 led to 65,493 calls in 34 s.
 #[test]
-fn whatever_a_store_answers_it_is_asked_only_a_few_times_a_second() {
+fn whatever_a_store_answers_it_is_called_only_a_few_times_a_second() {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let mut watcher = Watcher::default();
     let mut waited = Duration::ZERO;
@@ -305,7 +305,7 @@
         }],
         rollouts: vec![rollout_state()],
     };
-    let news = UsageUpdate {
+    let update = UsageUpdate {
         from: "box-1".parse().unwrap(),
         usage: state.usage.clone(),
         answers: vec![EndpointAnswers {
@@ -346,20 +346,20 @@
         endpoints_at: 9,
         is_whole: false,
     };
-    let bytes = postcard::to_stdvec(&(&state, &news, &request, &reply)).unwrap();
+    let bytes = postcard::to_stdvec(&(&state, &update, &request, &reply)).unwrap();
     let read: (BoxState, UsageUpdate, StateRequest, StateReply) =
         postcard::from_bytes(&bytes).unwrap();
-    assert_eq!(read, (state, news, request, reply));
+    assert_eq!(read, (state, update, request, reply));
 }
 
-/// An output that takes nothing until it is told to.
-struct Stuck {
+/// An output that blocks writes until it is released.
+struct BlockedWriter {
     go: Receiver<()>,
     is_open: bool,
     written: Sender<Vec<u8>>,
 }
 
-impl Write for Stuck {
+impl Write for BlockedWriter {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
         if !self.is_open {
             let _ = self.go.recv();
@@ -375,10 +375,10 @@
 }
 
 #[test]
-fn a_log_that_can_not_be_written_holds_nothing_up_and_says_what_it_left_out() {
+fn a_blocked_log_delays_nothing_and_reports_dropped_lines() {
     let (open, go) = channel();
     let (written, lines) = channel();
-    let out = Stuck {
+    let out = BlockedWriter {
         go,
         is_open: false,
         written,
@@ -389,11 +389,11 @@
         log.write(&record);
     }
     open.send(()).unwrap();
-    let mut has_said_so = false;
-    while !has_said_so {
+    let mut is_reported = false;
+    while !is_reported {
         log.write(&record);
         let bytes = lines.recv().unwrap();
-        has_said_so = String::from_utf8(bytes)
+        is_reported = String::from_utf8(bytes)
             .unwrap()
             .contains("log_lines_left_out");
     }
--- a/tests/incarnations.rs
+++ b/tests/incarnations.rs
@@ -1,4 +1,4 @@
-//! Endpoints that start again under the id that they had, on made-up time.
+//! Endpoints that restart under the same id, on a simulated clock.
 
 #[path = "gateway/fixtures.rs"]
 mod fixtures;
@@ -26,7 +26,7 @@
 /// When all endpoints started first.
 const FIRST: u64 = 1_000;
 
-/// An endpoint of the fixtures as an entry tells it.
+/// The list entry of an endpoint of the fixtures.
 fn entry(id: &str, born: Option<u64>, revision: u64) -> EndpointSpec {
     let spec = endpoints().into_iter().find(|e| e.id.as_str() == id);
     EndpointSpec {
@@ -36,8 +36,8 @@
     }
 }
 
-/// A box before endpoints that tell when they started.
-fn with_births() -> World {
+/// A box with endpoints that report their start time.
+fn with_start_times() -> World {
     let mut world = World::empty(GENEROUS);
     world.handle(Event::Table(Arc::new(table(1))));
     let specs = endpoints().into_iter().zip(1..);
@@ -46,8 +46,8 @@
     world
 }
 
-/// The entry of an endpoint tells another birth.
-fn reborn(world: &mut World, id: &str, born: u64, revision: u64) {
+/// Delivers an entry of the endpoint with another start time.
+fn restarted(world: &mut World, id: &str, born: u64, revision: u64) {
     let change = EndpointChange::Present(entry(id, Some(born), revision));
     world.handle(changed(vec![change]));
 }
@@ -56,7 +56,7 @@
     world.dispatcher.fleet().get(&id.parse().unwrap()).unwrap()
 }
 
-fn born(world: &World, id: &str) -> Option<u64> {
+fn start_time_of(world: &World, id: &str) -> Option<u64> {
     found(world, id).spec.born.map(|born| born.0)
 }
 
@@ -68,8 +68,8 @@
     host.unwrap().id
 }
 
-/// A stream that has had its first event.
-fn begun(world: &mut World) -> (RequestNumber, Attempt) {
+/// A stream that has received its first event.
+fn begun_stream(world: &mut World) -> (RequestNumber, Attempt) {
     let (request, first) = world.arrive(STREAMS);
     let first = first.unwrap();
     world.progress(request, first.attempt, 1);
@@ -77,56 +77,59 @@
 }
 
 fn snapshots(actions: &[Action]) -> Vec<EndpointId> {
-    let asked = actions.iter().filter_map(|action| match action {
-        Action::TakeSnapshot(asked) => Some(asked.host.clone()),
+    let requested = actions.iter().filter_map(|action| match action {
+        Action::TakeSnapshot(requested) => Some(requested.host.clone()),
         _ => None,
     });
-    asked.collect()
+    requested.collect()
 }
 
-fn asked_who_they_are(actions: &[Action]) -> Vec<EndpointId> {
-    let asked = actions.iter().filter_map(|action| match action {
+fn identity_requests(actions: &[Action]) -> Vec<EndpointId> {
+    let requested = actions.iter().filter_map(|action| match action {
         Action::RequestIdentity { spec, .. } => Some(spec.id.clone()),
         _ => None,
     });
-    asked.collect()
+    requested.collect()
 }
 
 #[test]
-fn a_mirror_is_lost_when_its_host_is_reborn_between_two_reads_of_the_list() {
-    let mut world = with_births();
-    let (request, first) = begun(&mut world);
+fn a_mirror_is_lost_when_its_host_restarts_between_two_reads_of_the_list() {
+    let mut world = with_start_times();
+    let (request, first) = begun_stream(&mut world);
     let host = mirror_of(&first);
-    reborn(&mut world, &host, 2_000, 50);
+    restarted(&mut world, &host, 2_000, 50);
     let is_closed =
         |action: &Action| *action == Action::CloseIdleConnections(first.mirror_to.unwrap());
     assert!(world.actions.iter().any(is_closed));
     world.end(request, first.attempt, CLOSED);
     let second = first_attempt(&world.actions).unwrap();
-    assert_eq!(second.resume_from, None, "the host holds nothing of before");
+    assert_eq!(
+        second.resume_from, None,
+        "the restarted host holds no earlier snapshot"
+    );
 }
 
 #[test]
-fn another_replica_is_made_when_the_host_of_a_mirror_is_reborn() {
-    let mut world = with_births();
-    let (request, first) = begun(&mut world);
+fn another_replica_is_made_when_the_host_of_a_mirror_restarts() {
+    let mut world = with_start_times();
+    let (request, first) = begun_stream(&mut world);
     let host = mirror_of(&first);
-    reborn(&mut world, &host, 2_000, 50);
-    let mut asked = Vec::new();
+    restarted(&mut world, &host, 2_000, 50);
+    let mut requested = Vec::new();
     for event in 2..8 {
-        asked.extend(snapshots(&world.run(100)));
+        requested.extend(snapshots(&world.run(100)));
         world.progress(request, first.attempt, event);
     }
-    assert_eq!(asked.len(), 1, "{asked:?}");
-    assert_ne!(asked[0], first.endpoint);
+    assert_eq!(requested.len(), 1, "{requested:?}");
+    assert_ne!(requested[0], first.endpoint);
 }
 
 #[test]
-fn a_snapshot_is_taken_anew_when_its_host_is_reborn() {
-    let mut world = with_births();
-    let (request, first) = begun(&mut world);
-    let gone = mirror_of(&first);
-    world.handle(changed(vec![EndpointChange::Absent(gone)]));
+fn a_snapshot_is_taken_again_when_its_host_restarts() {
+    let mut world = with_start_times();
+    let (request, first) = begun_stream(&mut world);
+    let removed = mirror_of(&first);
+    world.handle(changed(vec![EndpointChange::Absent(removed)]));
     let host = snapshots(&world.run(300)).remove(0);
     world.handle(Event::SnapshotTaken {
         request,
@@ -136,7 +139,7 @@
             "s".to_owned(),
         )),
     });
-    reborn(&mut world, &host, 2_000, 50);
+    restarted(&mut world, &host, 2_000, 50);
     world.progress(request, first.attempt, 2);
     assert!(!snapshots(&world.run(150)).is_empty());
 }
@@ -144,32 +147,35 @@
 #[rstest]
 #[case::later(2_000)]
 #[case::earlier_by_a_clock_that_was_set_back(500)]
-fn a_birth_of_a_newer_entry_counts_whichever_way_the_clock_went(#[case] told: u64) {
-    let mut world = with_births();
-    reborn(&mut world, "engine-n1", told, 50);
-    assert_eq!(born(&world, "engine-n1"), Some(told));
-    let reborn = |record: &&Record| matches!(record, Record::Reborn { endpoint, .. } if endpoint == "engine-n1");
+fn the_start_time_of_a_newer_entry_counts_whichever_way_the_clock_went(#[case] start_time: u64) {
+    let mut world = with_start_times();
+    restarted(&mut world, "engine-n1", start_time, 50);
+    assert_eq!(start_time_of(&world, "engine-n1"), Some(start_time));
+    let is_restart = |record: &&Record| matches!(record, Record::Reborn { endpoint, .. } if endpoint == "engine-n1");
     assert_eq!(
-        records(&world.actions).into_iter().filter(reborn).count(),
+        records(&world.actions)
+            .into_iter()
+            .filter(is_restart)
+            .count(),
         1
     );
 }
 
 #[test]
-fn an_entry_from_before_the_birth_that_comes_late_changes_nothing() {
-    let mut world = with_births();
-    reborn(&mut world, "engine-n1", 2_000, 50);
+fn a_late_entry_from_before_the_restart_changes_nothing() {
+    let mut world = with_start_times();
+    restarted(&mut world, "engine-n1", 2_000, 50);
     let mut stale = entry("engine-n1", Some(FIRST), 30);
     stale.leaving = true;
     world.handle(changed(vec![EndpointChange::Present(stale)]));
-    assert_eq!(born(&world, "engine-n1"), Some(2_000));
+    assert_eq!(start_time_of(&world, "engine-n1"), Some(2_000));
     assert!(found(&world, "engine-n1").takes_work());
 }
 
 #[test]
-fn what_a_peer_tells_of_an_older_life_is_dropped() {
-    let mut world = with_births();
-    reborn(&mut world, "engine-n1", 2_000, 50);
+fn peer_reports_about_an_older_incarnation_are_dropped() {
+    let mut world = with_start_times();
+    restarted(&mut world, "engine-n1", 2_000, 50);
     let old: EndpointIncarnation = format!("engine-n1@{FIRST}").parse().unwrap();
     let usage = EndpointUsage {
         endpoint: old.clone(),
@@ -200,13 +206,13 @@
     assert_eq!((usage.running, usage.prefill), (0, 0));
     assert!(!endpoint.is_avoided(world.now));
     assert_eq!(endpoint.health, EndpointHealth::default());
-    assert_eq!(born(&world, "engine-n1"), Some(2_000));
+    assert_eq!(start_time_of(&world, "engine-n1"), Some(2_000));
 }
 
 #[test]
-fn a_peer_that_tells_no_birth_is_believed() {
-    let mut world = with_births();
-    let news = |running| {
+fn a_peer_report_without_a_start_time_is_accepted() {
+    let mut world = with_start_times();
+    let update = |running| {
         let usage = EndpointUsage {
             endpoint: "engine-n1".parse().unwrap(),
             running,
@@ -222,7 +228,7 @@
             rollouts: Vec::new(),
         })
     };
-    world.handle(news(2));
+    world.handle(update(2));
     let endpoint = found(&world, "engine-n1");
     assert_eq!(
         world.dispatcher.fleet().usage(endpoint, world.now).running,
@@ -231,8 +237,8 @@
 }
 
 #[test]
-fn an_endpoint_whose_entry_never_lapsed_is_trusted_from_its_birth_on() {
-    let mut world = with_births();
+fn an_endpoint_whose_entry_never_lapsed_is_trusted_from_its_start_on() {
+    let mut world = with_start_times();
     let more = (3..7).map(|n| {
         let spec = endpoint(&format!("engine-n{n}"), "engines", "north", 9_200 + n);
         EndpointChange::Present(EndpointSpec {
@@ -260,7 +266,7 @@
         "engine-n6",
     ];
     let suspected = suspected.into_iter().find(|id| is_suspected(&world, id));
-    let id = suspected.expect("the domain was lost").to_owned();
+    let id = suspected.expect("the domain is suspected").to_owned();
     let port = found(&world, &id).spec.address.port();
     let spec = EndpointSpec {
         born: Some(StartTime(2_000)),
@@ -273,11 +279,11 @@
 }
 
 #[test]
-fn a_silent_stream_of_an_ended_life_is_moved_though_the_next_life_is_heard() {
-    let mut world = with_births();
-    let (request, first) = begun(&mut world);
-    reborn(&mut world, &first.endpoint, 2_000, 50);
-    // Another stream runs in the next life, and is heard all the time.
+fn a_stalled_stream_of_an_ended_incarnation_is_moved_though_the_next_one_sends_events() {
+    let mut world = with_start_times();
+    let (request, first) = begun_stream(&mut world);
+    restarted(&mut world, &first.endpoint, 2_000, 50);
+    // Another stream runs in the next incarnation and receives events all the time.
     let mut others = Vec::new();
     while others.is_empty() {
         let (other, sent) = world.arrive(STREAMS);
@@ -297,15 +303,15 @@
             break;
         }
     }
-    let moved = moved.expect("it does not wait for the connection to break");
+    let moved = moved.expect("moved before the connection breaks");
     assert!((200..=300).contains(&moved), "{moved} ms");
 }
 
 #[test]
-fn a_stream_that_goes_on_was_begun_in_the_present_life() {
-    let mut world = with_births();
-    let (request, first) = begun(&mut world);
-    reborn(&mut world, &first.endpoint, 2_000, 50);
+fn a_stream_that_sends_events_belongs_to_the_current_incarnation() {
+    let mut world = with_start_times();
+    let (request, first) = begun_stream(&mut world);
+    restarted(&mut world, &first.endpoint, 2_000, 50);
     for event in 2..12 {
         world.progress(request, first.attempt, event);
         let done = world.run(100);
@@ -318,20 +324,20 @@
 
 #[test]
 fn before_its_first_event_a_stream_has_the_time_of_its_prompt() {
-    let mut world = with_births();
+    let mut world = with_start_times();
     let (_, first) = world.arrive(STREAMS);
     let first = first.unwrap();
-    reborn(&mut world, &first.endpoint, 2_000, 50);
+    restarted(&mut world, &first.endpoint, 2_000, 50);
     assert!(commands(&world.run(1_600)).is_empty());
     assert!(commands(&world.run(200)).contains(&&Command::StopAttempt(first.attempt)));
 }
 
 #[test]
-fn a_call_of_an_ended_life_is_left_to_its_connection() {
-    let mut world = with_births();
+fn a_call_of_an_ended_incarnation_is_left_to_its_connection() {
+    let mut world = with_start_times();
     let (request, first) = world.arrive(PAYMENTS);
     let first = first.unwrap();
-    reborn(&mut world, &first.endpoint, 2_000, 50);
+    restarted(&mut world, &first.endpoint, 2_000, 50);
     assert!(commands(&world.run(500)).is_empty());
     world.end(request, first.attempt, Outcome::Answered { status: 200 });
     assert!(commands(&world.actions).contains(&&Command::Deliver));
@@ -340,18 +346,18 @@
     assert_eq!(
         endpoint.health,
         EndpointHealth::default(),
-        "it was the life before"
+        "it ran in the previous incarnation"
     );
 }
 
 #[test]
-fn a_plain_server_that_is_reborn_is_judged_anew() {
-    let mut world = with_births();
+fn the_health_of_a_restarted_plain_server_is_judged_again() {
+    let mut world = with_start_times();
     let (request, first) = world.arrive(PAYMENTS);
     let first = first.unwrap();
     world.end(request, first.attempt, CLOSED);
     assert!(found(&world, &first.endpoint).is_avoided(world.now));
-    reborn(&mut world, &first.endpoint, 2_000, 50);
+    restarted(&mut world, &first.endpoint, 2_000, 50);
     assert!(!found(&world, &first.endpoint).is_avoided(world.now));
     assert_eq!(
         found(&world, &first.endpoint).health,
@@ -360,88 +366,88 @@
 }
 
 #[test]
-fn a_request_may_go_to_an_endpoint_again_once_that_is_reborn() {
-    let mut world = with_births();
+fn a_request_may_go_to_an_endpoint_again_once_that_has_restarted() {
+    let mut world = with_start_times();
     let only = ["engine-n2", "engine-s1", "engine-s2"];
-    let gone = only.map(|id| EndpointChange::Absent(id.parse().unwrap()));
-    world.handle(changed(gone.into()));
+    let removed = only.map(|id| EndpointChange::Absent(id.parse().unwrap()));
+    world.handle(changed(removed.into()));
     let (request, first) = world.arrive(STREAMS);
     let first = first.unwrap();
     world.end(request, first.attempt, Outcome::NotSent);
     assert!(first_attempt(&world.actions).is_none());
-    reborn(&mut world, &first.endpoint, 2_000, 50);
+    restarted(&mut world, &first.endpoint, 2_000, 50);
     let second = first_attempt(&world.run(100)).unwrap();
     assert_eq!(second.endpoint, first.endpoint);
 }
 
 #[test]
-fn an_answer_with_another_birth_tells_before_the_list_does() {
-    let mut world = with_births();
-    let (request, first) = begun(&mut world);
+fn an_answer_with_another_start_time_reports_a_restart_before_the_list() {
+    let mut world = with_start_times();
+    let (request, first) = begun_stream(&mut world);
     assert_eq!(probes(&world.run(250)), vec![first.endpoint.clone()]);
     world.handle(Event::Probed {
         endpoint: first.endpoint.clone(),
         is_answered: true,
         born: Some(StartTime(2_000)),
     });
-    assert_eq!(born(&world, &first.endpoint), Some(2_000));
-    // The attempt of the life before is silent already, and moves with the next tick.
+    assert_eq!(start_time_of(&world, &first.endpoint), Some(2_000));
+    // The attempt of the previous incarnation is unresponsive already, and moves with the next tick.
     let done = world.run(30);
     assert!(commands(&done).contains(&&Command::StopAttempt(first.attempt)));
     let second = first_attempt(&done).unwrap();
     assert!(
         second.resume_from.is_some(),
-        "its mirror's host lives: {request}"
+        "the host of its mirror is available: {request}"
     );
-    // The same entry, listed again, does not bring the older birth back.
+    // The same entry, listed again, does not restore the older start time.
     let revision = found(&world, &first.endpoint).spec.revision;
     let again = entry(&first.endpoint, Some(FIRST), revision);
     world.handle(changed(vec![EndpointChange::Present(again)]));
-    assert_eq!(born(&world, &first.endpoint), Some(2_000));
+    assert_eq!(start_time_of(&world, &first.endpoint), Some(2_000));
 }
 
 #[test]
-fn an_answer_that_was_asked_for_before_the_birth_is_late() {
-    let mut world = with_births();
-    let (_, first) = begun(&mut world);
+fn an_answer_requested_before_the_restart_is_late() {
+    let mut world = with_start_times();
+    let (_, first) = begun_stream(&mut world);
     world.run(250);
-    reborn(&mut world, &first.endpoint, 2_000, 50);
+    restarted(&mut world, &first.endpoint, 2_000, 50);
     world.handle(Event::Probed {
         endpoint: first.endpoint.clone(),
         is_answered: true,
         born: Some(StartTime(FIRST)),
     });
-    assert_eq!(born(&world, &first.endpoint), Some(2_000));
+    assert_eq!(start_time_of(&world, &first.endpoint), Some(2_000));
 }
 
 #[test]
-fn an_engine_that_says_its_name_with_another_birth_holds_nothing_of_before() {
-    let mut world = with_births();
-    let (request, first) = begun(&mut world);
+fn an_engine_that_reports_another_start_time_holds_no_earlier_replica() {
+    let mut world = with_start_times();
+    let (request, first) = begun_stream(&mut world);
     let host = mirror_of(&first);
-    let world_asks = |world: &mut World| {
+    let requests_identity = |world: &mut World| {
         for event in 2..40 {
             world.progress(request, first.attempt, event);
-            let asked = asked_who_they_are(&world.run(100));
-            if asked.contains(&host) {
+            let requested = identity_requests(&world.run(100));
+            if requested.contains(&host) {
                 return true;
             }
         }
         false
     };
-    // A peer lost the host of the mirror, so it may be in its next life.
-    let life = found(&world, &host).spec.incarnation();
+    // A peer lost the host of the mirror, so the host may have restarted.
+    let incarnation = found(&world, &host).spec.incarnation();
     world.handle(Event::Peer(BoxState {
-        lost: vec![life],
+        lost: vec![incarnation],
         ..box_state("box-2", "north", "127.0.0.9:7200")
     }));
-    assert!(world_asks(&mut world), "it holds a replica");
+    assert!(requests_identity(&mut world), "it holds a replica");
     world.handle(Event::IdentityReported {
         endpoint: host.clone(),
         instance: host.clone(),
         born: Some(StartTime(2_000)),
     });
-    assert_eq!(born(&world, &host), Some(2_000));
+    assert_eq!(start_time_of(&world, &host), Some(2_000));
     world.end(request, first.attempt, CLOSED);
     let second = first_attempt(&world.actions).unwrap();
     assert!(
@@ -452,9 +458,9 @@
 }
 
 #[test]
-fn endpoints_that_tell_no_birth_go_by_their_ids() {
+fn endpoints_without_a_start_time_are_identified_by_their_ids() {
     let mut world = World::ready();
-    let (request, first) = begun(&mut world);
+    let (request, first) = begun_stream(&mut world);
     let host = mirror_of(&first);
     let again = EndpointChange::Present(entry(&host, None, 50));
     world.handle(changed(vec![again]));
@@ -465,11 +471,11 @@
 }
 
 #[test]
-fn a_birth_that_is_told_for_the_first_time_ends_no_life() {
+fn the_first_reported_start_time_ends_no_incarnation() {
     let mut world = World::ready();
-    let (request, first) = begun(&mut world);
+    let (request, first) = begun_stream(&mut world);
     let host = mirror_of(&first);
-    reborn(&mut world, &host, 2_000, 50);
+    restarted(&mut world, &host, 2_000, 50);
     world.end(request, first.attempt, CLOSED);
     let second = first_attempt(&world.actions).unwrap();
     assert_eq!(Some(second.address), first.mirror_to);
--- a/tests/limited_servers.rs
+++ b/tests/limited_servers.rs
@@ -1,10 +1,8 @@
-//! Servers that name a limit, in whole fleets on made-up time.
+//! Servers that set a request rate limit, in whole fleets on a simulated clock.
 //!
-//! What users saw: two tills of three named limits of 3 and 1.9 requests a second and got 7 and 3 of them
-//! a second all the same, while the third till had room.
-//!
-//! Evidence: boxes' logs have 55 calls at the two tills in the six seconds after they named a limit, all
-//! first attempts, sent as before.
+//! Guards against boxes that ignore a limit: two of three servers set limits of 3 and 1.9 requests a second and still
+//! got 7 and 3 a second, while the third server had capacity. The 55 calls that the two got in the six seconds after
+//! they set a limit were all first attempts, sent as before.
 
 use magpiemoor::gateway::dispatch::fleet::limits::RequestRate;
 use magpiemoor_lab::gateway::limits::{Beside, Case, Course, Needy};
@@ -34,16 +32,16 @@
 #[case::that_comes_and_goes("1.9", Needy::One, Course::Flickers)]
 #[case::of_nothing("0", Needy::One, Course::Steady)]
 #[case::that_starts_again("1.9", Needy::One, Course::Restarts)]
-fn a_server_in_need_gets_no_more_than_its_limit_allows(
+fn an_overloaded_server_gets_no_more_than_its_limit_allows(
     #[case] limit: &str,
     #[case] needy: Needy,
     #[case] course: Course,
 ) {
-    let played = case(limit, needy, course).play();
-    assert!(!played.is_over(), "{played:?}");
+    let result = case(limit, needy, course).play();
+    assert!(!result.is_over(), "{result:?}");
 }
 
-/// Fleets of other sizes, with cuts, stores that are out, boxes that are killed or stand still.
+/// Fleets of other sizes, with network partitions, store outages, and boxes that are killed or paused.
 #[rstest]
 #[case::alone(7, Beside::Nothing)]
 #[case::cut(30, Beside::DomainCut)]
@@ -52,56 +50,56 @@
 #[case::all_boxes_killed(7, Beside::AllBoxesKilled)]
 #[case::boxes_frozen(30, Beside::BoxesFrozen)]
 #[case::burst(30, Beside::Burst)]
-fn a_limit_holds_whatever_goes_wrong_beside(#[case] boxes: usize, #[case] beside: Beside) {
+fn a_limit_holds_during_other_faults(#[case] boxes: usize, #[case] beside: Beside) {
     for seed in 1..=3 {
         let case = Case {
             beside,
             ..Case::draw(seed, boxes)
         };
-        let played = case.play();
-        assert!(!played.is_over(), "{played:?}");
+        let result = case.play();
+        assert!(!result.is_over(), "{result:?}");
     }
 }
 
-/// What a server in need may not take, others serve.
+/// Requests above the limit of an overloaded server are served by other servers.
 #[rstest]
 #[case::one(Needy::One)]
 #[case::those_of_a_domain(Needy::Domain)]
-fn callers_lose_nothing_while_other_servers_have_room(#[case] needy: Needy) {
-    let played = case("1.9", needy, Course::Steady).play();
-    assert_eq!(played.callers.lost, 0, "{played:?}");
-    assert!(played.callers.in_time() > 0.999, "{played:?}");
-    assert!(played.used > 0.5, "{played:?}");
+fn callers_lose_nothing_while_other_servers_have_capacity(#[case] needy: Needy) {
+    let result = case("1.9", needy, Course::Steady).play();
+    assert_eq!(result.callers.lost, 0, "{result:?}");
+    assert!(result.callers.in_time() > 0.999, "{result:?}");
+    assert!(result.used > 0.5, "{result:?}");
 }
 
-/// Where a limit is far above what callers ask for, it costs them nothing.
+/// A limit far above the request rate costs callers nothing.
 #[test]
 fn a_limit_above_the_demand_costs_callers_nothing() {
     let ample = Case {
         calls: 1.0,
         ..case("30", Needy::All, Course::Steady)
     };
-    let played = ample.play();
-    assert_eq!(played.callers.lost, 0, "{played:?}");
+    let result = ample.play();
+    assert_eq!(result.callers.lost, 0, "{result:?}");
 }
 
-/// Where all servers are in need, what they take is used.
+/// When all servers are overloaded, the rates that they allow are used.
 #[test]
-fn what_servers_in_need_take_is_used() {
-    let played = case("3", Needy::All, Course::Steady).play();
-    assert!(played.used > 0.8, "{played:?}");
+fn the_rates_that_overloaded_servers_allow_are_used() {
+    let result = case("3", Needy::All, Course::Steady).play();
+    assert!(result.used > 0.8, "{result:?}");
 }
 
-/// A server that names 0.4 from its first answer on, after a restart, beside boxes that don't know it yet.
+/// A restarted server sets a limit of 0.4 from its first answer on, while other boxes don't know the limit yet.
 #[test]
 fn a_server_that_is_in_need_from_its_start_gets_no_more_than_its_limit_allows() {
-    let played = Case::draw(24, 30).play();
-    assert!(!played.is_over(), "{played:?}");
+    let result = Case::draw(24, 30).play();
+    assert!(!result.is_over(), "{result:?}");
 }
 
-/// The same play, counted by the words of the rule.
+/// The same run, counted as the rule is worded.
 #[test]
-fn by_the_words_of_the_rule_it_gets_no_more_than_its_limit_allows() {
-    let played = Case::draw(24, 30).play();
-    assert!(played.most_by_words <= 1.0, "{played:?}");
+fn as_the_rule_is_worded_it_gets_no_more_than_its_limit_allows() {
+    let result = Case::draw(24, 30).play();
+    assert!(result.most_by_words <= 1.0, "{result:?}");
 }
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -1,4 +1,5 @@
-//! Limits that endpoints name: how rates are read, and what a box knows of them.
+//! Request rate limits set by endpoints: how rates are parsed, which limits a box knows, and how the owner of a limit
+//! allocates permits.
 
 #[path = "gateway/fixtures.rs"]
 mod fixtures;
@@ -39,7 +40,7 @@
 #[case::not_a_number("NaN")]
 #[case::infinite("inf")]
 #[case::words("a few")]
-fn what_is_no_rate_is_refused(#[case] text: &str) {
+fn an_invalid_rate_is_refused(#[case] text: &str) {
     let refused = text.parse::<RequestRate>().unwrap_err();
     assert!(refused.to_string().contains("decimal number"), "{refused}");
 }
@@ -49,9 +50,9 @@
 }
 
 #[test]
-fn a_limit_is_recorded_when_it_is_named_changes_and_ends() {
+fn a_limit_is_recorded_when_it_is_set_changes_and_ends() {
     let mut world = World::ready();
-    // All are sent before any limit is named, so none needs a permit.
+    // All are sent before any limit is set, so none needs a permit.
     let mut sent = Vec::new();
     while sent.len() < 6 {
         let (request, attempt) = world.arrive(QUOTES);
@@ -61,7 +62,7 @@
                 .map(|a| (request, a.attempt)),
         );
     }
-    let mut told = Vec::new();
+    let mut recorded = Vec::new();
     let named = [None, Some("3"), Some("3"), Some("1.9"), None, None];
     for ((request, attempt), limit) in sent.into_iter().zip(named) {
         let limit = limit.map(rate);
@@ -70,10 +71,10 @@
             attempt,
             limit,
         });
-        told.extend(records(&world.actions).into_iter().cloned());
+        recorded.extend(records(&world.actions).into_iter().cloned());
         world.end(request, attempt, Outcome::Answered { status: 200 });
     }
-    let limits: Vec<Option<f64>> = told
+    let limits: Vec<Option<f64>> = recorded
         .iter()
         .filter_map(|record| match record {
             Record::Limited { per_second, .. } => Some(*per_second),
@@ -83,9 +84,9 @@
     assert_eq!(limits, [Some(3.0), Some(1.9), None]);
 }
 
-/// A till that has started again names what it takes anew.
+/// A restarted server reports its limit again: the limit of the previous incarnation no longer applies.
 #[test]
-fn a_limit_ends_with_the_life_that_named_it() {
+fn a_limit_ends_with_the_incarnation_that_set_it() {
     let mut world = World::ready();
     let (request, sent) = world.arrive(QUOTES);
     let sent = sent.unwrap();
@@ -116,11 +117,11 @@
 
 const AT: Micros = Micros(100_000_000);
 
-fn named(milli: Option<u32>) -> Limits {
+fn limits_after_answer(milli: Option<u32>) -> Limits {
     let mut limits = Limits::default();
-    let life = "till-n1".parse().unwrap();
-    limits.on_answer(&life, Some(RequestRate::from_milli(5_000)), AT);
-    limits.on_answer(&life, milli.map(RequestRate::from_milli), AT);
+    let incarnation = "till-n1".parse().unwrap();
+    limits.on_answer(&incarnation, Some(RequestRate::from_milli(5_000)), AT);
+    limits.on_answer(&incarnation, milli.map(RequestRate::from_milli), AT);
     limits
 }
 
@@ -128,24 +129,24 @@
 #[case::newer(Some(3_000), 0, 200, Some(3_000))]
 #[case::an_end(None, 0, 200, None)]
 #[case::older(Some(3_000), 500, 200, Some(1_900))]
-#[case::as_old_as_the_way_between_boxes(Some(3_000), 10, 50, Some(1_900))]
-fn of_two_accounts_the_newer_one_counts(
-    #[case] told: Option<u32>,
+#[case::within_the_network_delay(Some(3_000), 10, 50, Some(1_900))]
+fn the_newer_of_two_reports_counts(
+    #[case] reported: Option<u32>,
     #[case] age_ms: u32,
     #[case] after_ms: u64,
     #[case] then: Option<u32>,
 ) {
-    let mut limits = named(Some(1_900));
+    let mut limits = limits_after_answer(Some(1_900));
     let now = AT.after(Duration::from_millis(after_ms));
-    let is_news = limits.on_peer_report(&report("till-n1", told, age_ms), now);
+    let is_newer = limits.on_peer_report(&report("till-n1", reported, age_ms), now);
     let id = "till-n1".parse().unwrap();
     assert_eq!(limits.of(&id).map(RequestRate::milli), then);
-    assert_eq!(is_news, then != Some(1_900));
+    assert_eq!(is_newer, then != Some(1_900));
 }
 
 #[test]
-fn older_word_of_a_limit_does_not_bring_it_back() {
-    let mut limits = named(None);
+fn an_older_report_does_not_restore_a_limit() {
+    let mut limits = limits_after_answer(None);
     let id = "till-n1".parse().unwrap();
     let now = AT.after(Duration::from_secs(20));
     limits.forget_expired(now);
@@ -159,23 +160,23 @@
 }
 
 #[test]
-fn a_permit_serves_one_request_and_lapses() {
-    let mut limits = named(Some(1_900));
+fn a_permit_serves_one_request_and_expires() {
+    let mut limits = limits_after_answer(Some(1_900));
     let id: EndpointId = "till-n1".parse().unwrap();
-    let life: EndpointIncarnation = "till-n1".parse().unwrap();
+    let incarnation: EndpointIncarnation = "till-n1".parse().unwrap();
     assert!(!limits.may_send(&id, AT));
-    limits.on_granted(&life, 2, AT);
+    limits.on_granted(&incarnation, 2, AT);
     assert!(limits.may_send(&id, AT));
     assert!(limits.on_sent(&id, AT));
     assert!(limits.may_send(&id, AT));
-    let lapsed = AT.after(PERMIT_LIFETIME);
-    assert!(!limits.may_send(&id, lapsed));
+    let expired = AT.after(PERMIT_LIFETIME);
+    assert!(!limits.may_send(&id, expired));
     let other = "till-s1".parse().unwrap();
-    assert!(limits.may_send(&other, AT), "it names no limit");
+    assert!(limits.may_send(&other, AT), "the endpoint has no limit");
     assert!(!limits.on_sent(&other, AT), "no permit was needed");
 }
 
-fn asker(port: u16, wanted: u32) -> PermitRequester {
+fn requester(port: u16, wanted: u32) -> PermitRequester {
     PermitRequester {
         reply_to: ([127, 0, 0, 1], port).into(),
         wanted,
@@ -185,18 +186,18 @@
 /// In any four seconds no more permits are allocated than the limit allows plus the burst.
 #[rstest]
 #[case::slow(400)]
-#[case::as_in_the_incident(1_900)]
+#[case::medium(1_900)]
 #[case::fast(30_000)]
-fn a_dealer_deals_what_the_limit_allows(#[case] milli: u32) {
+fn an_allocator_allocates_what_the_limit_allows(#[case] milli: u32) {
     let rate = RequestRate::from_milli(milli);
     let mut allocator = PermitAllocator::new(AT);
     let mut allocated = Vec::new();
     for step in 0..6_000_u64 {
         let now = AT.after(Duration::from_millis(step * 5));
-        // Nobody asks for a while, then all do.
+        // No box requests permits for a while, then all do.
         if step % 2_000 > 1_000 {
-            allocator.on_request(asker(1, 40), now);
-            allocator.on_request(asker(2, 40), now);
+            allocator.on_request(requester(1, 40), now);
+            allocator.on_request(requester(2, 40), now);
         }
         let count: u32 = allocator.allocate(rate, now).iter().map(|a| a.wanted).sum();
         allocated.extend(std::iter::repeat_n(now, count as usize));
@@ -216,37 +217,37 @@
 }
 
 #[test]
-fn a_dealer_serves_whoever_asked_last_and_forgets_old_asks() {
+fn an_allocator_serves_the_latest_requester_and_drops_old_requests() {
     let rate = RequestRate::from_milli(2_000);
     let mut allocator = PermitAllocator::new(AT);
     let at = |ms| AT.after(Duration::from_millis(ms));
-    allocator.on_request(asker(1, 1), at(300));
-    allocator.on_request(asker(2, 1), at(440));
+    allocator.on_request(requester(1, 1), at(300));
+    allocator.on_request(requester(2, 1), at(440));
     assert_eq!(allocator.allocate(rate, at(440)), []);
     assert_eq!(allocator.due(rate), Some(at(500)));
-    assert_eq!(allocator.allocate(rate, at(500)), [asker(2, 1)]);
-    assert_eq!(allocator.due(rate), None, "the first ask is too old");
+    assert_eq!(allocator.allocate(rate, at(500)), [requester(2, 1)]);
+    assert_eq!(allocator.due(rate), None, "the first request is too old");
 }
 
 #[test]
-fn a_dealer_that_pauses_deals_nothing_and_saves_nothing() {
+fn a_paused_allocator_allocates_nothing_and_accumulates_nothing() {
     let rate = RequestRate::from_milli(10_000);
     let mut allocator = PermitAllocator::new(AT);
     let until = AT.after(Duration::from_secs(4));
     allocator.pause_until(until);
     for ms in (0..4_000).step_by(50) {
         let now = AT.after(Duration::from_millis(ms));
-        allocator.on_request(asker(1, 9), now);
+        allocator.on_request(requester(1, 9), now);
         assert_eq!(allocator.allocate(rate, now), []);
     }
-    allocator.on_request(asker(1, 9), until);
+    allocator.on_request(requester(1, 9), until);
     let allocated = allocator.allocate(rate, until.after(Duration::from_millis(100)));
-    assert_eq!(allocated, [asker(1, 1)]);
+    assert_eq!(allocated, [requester(1, 1)]);
 }
 
-/// What was to be told of an endpoint that is gone by then must not keep the box busy.
+/// An unpublished limit change of an endpoint that has been removed must not keep the box busy.
 #[test]
-fn a_box_rests_after_an_endpoint_with_a_changed_limit_has_gone() {
+fn a_box_is_idle_after_an_endpoint_with_a_changed_limit_is_removed() {
     let mut world = World::ready();
     // Boxes of the other domain allocate the permits for its endpoints.
     let mut other = box_state("box-9", "south", "127.0.0.9:7200");
@@ -278,13 +279,13 @@
     assert!(world.dispatcher.next_tick() > world.now);
 }
 
-/// A box of the own domain, at an address by which it owns the limit of an endpoint.
+/// A box of the same domain, at an address by which it owns the limit of an endpoint.
 fn limit_owner_peer(world: &mut World, endpoint: &str) -> SocketAddr {
     let item = rendezvous::item(endpoint);
     let score = |address: &SocketAddr| rendezvous::score(&address.to_string(), item);
-    let me: SocketAddr = "127.0.0.1:7200".parse().unwrap();
+    let own: SocketAddr = "127.0.0.1:7200".parse().unwrap();
     let mut addresses = (2..250).map(|host| SocketAddr::from(([127, 0, 0, host], 7_200)));
-    let address = addresses.find(|address| score(address) > score(&me));
+    let address = addresses.find(|address| score(address) > score(&own));
     let address = address.unwrap();
     let mut state = box_state("box-2", "north", &address.to_string());
     state.beat = 1;
@@ -292,20 +293,20 @@
     address
 }
 
-/// Permits that a box asks others for, by the endpoint.
-fn asks(actions: &[Action]) -> Vec<(Vec<SocketAddr>, PermitRequest)> {
-    let asked = actions.iter().filter_map(|action| match action {
-        Action::PublishLimits { to, update: news } => Some((to, news)),
+/// The permit requests that a box sends, with the boxes that they go to.
+fn permit_requests(actions: &[Action]) -> Vec<(Vec<SocketAddr>, PermitRequest)> {
+    let requested = actions.iter().filter_map(|action| match action {
+        Action::PublishLimits { to, update } => Some((to, update)),
         _ => None,
     });
-    let asked = asked.flat_map(|(to, news)| {
-        let asks = news.asks.iter().cloned();
-        asks.map(move |ask| (to.clone(), ask))
+    let requested = requested.flat_map(|(to, update)| {
+        let asks = update.asks.iter().cloned();
+        asks.map(move |request| (to.clone(), request))
     });
-    asked.collect()
+    requested.collect()
 }
 
-/// A box with a limited till of its domain, the box that owns its limit, and a call that used it.
+/// A box with a limited server in its domain, the box that owns the limit, and a call that used the server.
 fn limited_world() -> (World, SocketAddr) {
     let mut world = World::ready();
     let owner = limit_owner_peer(&mut world, "till-n1");
@@ -336,17 +337,21 @@
 }
 
 #[test]
-fn an_ask_is_not_held_back_once_the_one_before_was_answered() {
+fn a_permit_request_is_not_delayed_once_the_previous_one_was_answered() {
     let (mut world, owner) = limited_world();
     for _ in 0..5 {
         let (_, sent) = world.arrive(QUOTES);
-        assert_eq!(&*sent.unwrap().endpoint, "till-s1", "it goes elsewhere");
-        let asked = asks(&world.actions);
-        assert_eq!(asked.len(), 1);
-        assert_eq!(asked[0].0, [owner]);
-        // While nobody answers, it is not asked again.
+        assert_eq!(
+            &*sent.unwrap().endpoint,
+            "till-s1",
+            "sent to another endpoint"
+        );
+        let requested = permit_requests(&world.actions);
+        assert_eq!(requested.len(), 1);
+        assert_eq!(requested[0].0, [owner]);
+        // While no answer arrives, no further permit request is sent.
         world.arrive(QUOTES);
-        assert_eq!(asks(&world.actions), []);
+        assert_eq!(permit_requests(&world.actions), []);
         world.handle(granted(1));
         let (_, sent) = world.arrive(QUOTES);
         assert_eq!(&*sent.unwrap().endpoint, "till-n1", "with the permit");
@@ -354,12 +359,12 @@
     }
 }
 
-/// An ask of another domain's box comes to any box here, which passes it on once.
+/// A permit request from a box of another domain may reach any box here, which forwards it once.
 #[test]
-fn an_ask_is_passed_on_to_the_box_that_deals_but_only_once() {
+fn a_permit_request_is_forwarded_to_the_owner_of_the_limit_only_once() {
     let (mut world, owner) = limited_world();
     for is_passed_on in [false, true] {
-        let news = LimitUpdate {
+        let update = LimitUpdate {
             from: "box-s".parse().unwrap(),
             reply_to: "127.0.1.1:7200".to_owned(),
             is_passed_on,
@@ -370,8 +375,8 @@
             }],
             grants: Vec::new(),
         };
-        world.handle(Event::PeerLimits(news));
-        let passed = asks(&world.actions);
+        world.handle(Event::PeerLimits(update));
+        let passed = permit_requests(&world.actions);
         let to: Vec<_> = passed.into_iter().map(|(to, _)| to).collect();
         let expected = if is_passed_on {
             vec![]
--- a/tests/stream_time.rs
+++ b/tests/stream_time.rs
@@ -1,4 +1,4 @@
-//! How long a box takes streams to need.
+//! A box's estimate of how long streams take.
 
 use std::time::Duration;
 
@@ -13,13 +13,13 @@
 }
 
 #[test]
-fn a_longer_stream_counts_at_once() {
+fn a_longer_stream_raises_the_estimate_at_once() {
     assert_eq!(after(&[]), Duration::from_secs(5));
     assert_eq!(after(&[7_200]), Duration::from_millis(7_200));
 }
 
 #[test]
-fn shorter_ones_draw_it_down_by_and_by() {
+fn shorter_streams_lower_the_estimate_gradually() {
     let soon = after(&[9_000, 6_000, 6_000]);
     assert!(soon > Duration::from_secs(8), "{soon:?}");
     let later = after(&[&[9_000][..], &[6_000; 40]].concat());
--- a/tests/streams.rs
+++ b/tests/streams.rs
@@ -1,4 +1,4 @@
-//! Where streams run, what they go on from after a loss, and callers that come back, on made-up time.
+//! Where streams run, what they resume from after a loss, and callers that reconnect, on a simulated clock.
 
 #[path = "gateway/fixtures.rs"]
 mod fixtures;
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_broken_stream_goes_on_from_its_copy_after_the_last_event() {
+fn a_broken_stream_resumes_from_its_copy_after_the_last_event() {
     let mut world = World::ready();
     let (request, first) = world.arrive(STREAMS);
     let first = first.unwrap();
@@ -68,7 +68,7 @@
 #[rstest]
 #[case::leaving(true)]
 #[case::no_longer_listed(false)]
-fn a_copy_at_an_endpoint_that_goes_is_not_gone_on_from(#[case] is_listed: bool) {
+fn a_stream_does_not_resume_from_a_copy_at_a_removed_endpoint(#[case] is_listed: bool) {
     let mut world = World::ready();
     let (request, first) = world.arrive(STREAMS);
     let first = first.unwrap();
@@ -92,16 +92,16 @@
 }
 
 #[test]
-fn a_caller_that_comes_back_is_sent_to_the_engine_that_keeps_its_prompt() {
+fn a_reconnecting_caller_is_sent_to_the_engine_that_keeps_its_prompt() {
     let mut world = World::ready();
     let mut arrival = world.arrival(STREAMS);
     arrival.after_event = Some(40);
     let (request, first) = world.arrive_as(arrival);
     assert!(first.is_none());
-    let asked = world.actions.iter().any(
+    let requested = world.actions.iter().any(
         |action| matches!(action, Action::Locate { part, among, .. } if part == "part-1" && among.len() == 4),
     );
-    assert!(asked);
+    assert!(requested);
     let keeper = "engine-s2".parse().unwrap();
     world.handle(Event::Located {
         request,
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn a_caller_whose_prompt_nobody_keeps_is_served_all_the_same() {
+fn a_caller_whose_prompt_no_engine_keeps_is_still_served() {
     let mut world = World::ready();
     let mut arrival = world.arrival(STREAMS);
     arrival.after_event = Some(40);
@@ -126,38 +126,38 @@
 }
 
 #[test]
-fn a_caller_that_comes_back_has_mostly_engines_of_the_own_domain_asked() {
+fn a_prompt_search_goes_mostly_to_engines_of_the_own_domain() {
     let mut world = World::empty(GENEROUS);
     world.handle(Event::Table(Arc::new(table(1))));
-    let near = (0..60).map(|n| endpoint(&format!("engine-n{n}"), "engines", "north", 9_000 + n));
-    let far = (0..60).map(|n| endpoint(&format!("engine-s{n}"), "engines", "south", 9_200 + n));
-    world.handle(listed(near.chain(far).collect()));
+    let local = (0..60).map(|n| endpoint(&format!("engine-n{n}"), "engines", "north", 9_000 + n));
+    let remote = (0..60).map(|n| endpoint(&format!("engine-s{n}"), "engines", "south", 9_200 + n));
+    world.handle(listed(local.chain(remote).collect()));
     let mut arrival = world.arrival(STREAMS);
     arrival.after_event = Some(5);
     let (request, mut sent) = world.arrive_as(arrival);
-    let mut asked = Vec::new();
+    let mut requested = Vec::new();
     while sent.is_none() {
         let wave = world.actions.iter().find_map(|action| match action {
             Action::Locate { among, .. } => Some(among.clone()),
             _ => None,
         });
-        let wave = wave.expect("it asks until it makes an attempt");
-        assert!(wave.len() <= 6, "thin links bear no more answers at once");
-        asked.extend(wave);
+        let wave = wave.expect("the box sends requests until it makes an attempt");
+        assert!(wave.len() <= 6, "slow links carry no more answers at once");
+        requested.extend(wave);
         world.handle(Event::Located {
             request,
             endpoint: None,
         });
         sent = first_attempt(&world.actions);
     }
-    let (near, far) = asked.split_at(18);
-    assert!(near.iter().all(|(id, _)| domain_of(id) == "north"));
-    assert!(far.iter().all(|(id, _)| domain_of(id) == "south"));
-    assert_eq!(far.len(), 6);
+    let (local, remote) = requested.split_at(18);
+    assert!(local.iter().all(|(id, _)| domain_of(id) == "north"));
+    assert!(remote.iter().all(|(id, _)| domain_of(id) == "south"));
+    assert_eq!(remote.len(), 6);
 }
 
 #[test]
-fn engines_that_go_while_a_prompt_is_searched_are_not_asked() {
+fn engines_removed_during_a_prompt_search_are_not_queried() {
     let mut world = World::empty(GENEROUS);
     world.handle(Event::Table(Arc::new(table(1))));
     let engines: Vec<_> = (0..12)
@@ -167,21 +167,21 @@
     let mut arrival = world.arrival(STREAMS);
     arrival.after_event = Some(5);
     let (request, _) = world.arrive_as(arrival);
-    let asked = |actions: &[Action]| {
+    let requested = |actions: &[Action]| {
         let waves = actions.iter().filter_map(|action| match action {
             Action::Locate { among, .. } => Some(among.clone()),
             _ => None,
         });
         waves.flatten().map(|(id, _)| id).collect::<Vec<_>>()
     };
-    let first = asked(&world.actions);
+    let first = requested(&world.actions);
     let mut rest = engines.iter().filter(|e| !first.contains(&e.id));
     let stays = rest.next_back().unwrap().id.clone();
-    let gone = rest.map(|e| EndpointChange::Absent(e.id.clone()));
-    world.handle(changed(gone.collect()));
+    let removed = rest.map(|e| EndpointChange::Absent(e.id.clone()));
+    world.handle(changed(removed.collect()));
     world.handle(Event::Located {
         request,
         endpoint: None,
     });
-    assert_eq!(asked(&world.actions), [stays]);
+    assert_eq!(requested(&world.actions), [stays]);
 }
--- a/tests/suspicion.rs
+++ b/tests/suspicion.rs
@@ -1,4 +1,4 @@
-//! When endpoints are suspected, avoided and trusted again, on made-up time.
+//! When endpoints are suspected, avoided and trusted again, on a simulated clock.
 
 #[path = "gateway/fixtures.rs"]
 mod fixtures;
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_silent_engine_is_asked_and_left_if_it_does_not_answer() {
+fn an_unresponsive_engine_is_probed_and_abandoned_if_it_does_not_answer() {
     let mut world = World::ready();
     let (request, first) = world.arrive(STREAMS);
     let first = first.unwrap();
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn an_engine_that_was_heard_since_it_was_asked_is_not_left() {
+fn an_engine_that_sent_events_after_the_probe_is_not_abandoned() {
     let mut world = World::ready();
     let (request, first) = world.arrive(STREAMS);
     let first = first.unwrap();
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn what_a_sending_that_was_left_still_says_changes_nothing() {
+fn late_events_of_an_abandoned_attempt_change_nothing() {
     let mut world = World::ready();
     let (request, first) = world.arrive(STREAMS);
     let first = first.unwrap();
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn after_several_losses_of_a_domain_its_other_endpoints_are_doubted_until_they_are_heard() {
+fn after_several_losses_in_a_domain_its_other_endpoints_are_suspected_until_seen() {
     let mut world = World::ready();
     for port in 0..6 {
         let id = format!("engine-n{}", port + 3);
@@ -98,7 +98,7 @@
     let (_, after) = world.arrive(STREAMS);
     let after = after.unwrap();
     assert_eq!(domain_of(&after.endpoint), "south");
-    // A copy would be lost with the domain: the only other engine of the south has to do.
+    // A copy in the suspected domain would be lost with it, so the only other engine of the south is used.
     assert!([9_003, 9_004].contains(&after.mirror_to.unwrap().port()));
 }
 
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn a_peer_is_not_believed_about_an_endpoint_that_was_just_heard() {
+fn a_peer_report_is_ignored_for_an_endpoint_that_was_just_seen() {
     let mut world = World::ready();
     let (request, first) = world.arrive(STREAMS);
     let first = first.unwrap();
@@ -147,21 +147,21 @@
 }
 
 #[test]
-fn what_has_a_plain_services_address_now_is_never_taken_for_its_successor() {
+fn a_new_endpoint_at_a_plain_services_address_is_never_its_successor() {
     let mut world = World::ready();
     let (request, first) = world.arrive(PAYMENTS);
     let cause = NotRunCause::OtherInstance(Some("stranger".parse().unwrap()));
     world.end(request, first.unwrap().attempt, Outcome::NotRun(cause));
-    let asks = |action: &Action| matches!(action, Action::Identify(_));
-    assert!(!world.actions.iter().any(asks));
+    let is_identify = |action: &Action| matches!(action, Action::Identify(_));
+    assert!(!world.actions.iter().any(is_identify));
 }
 
 #[test]
-fn a_domain_that_can_not_be_reached_is_tried_now_and_then_only() {
+fn an_unreachable_domain_is_tried_only_occasionally() {
     let mut world = World::empty(GENEROUS);
     world.handle(Event::Table(Arc::new(table(1))));
-    let far = (0..20).map(|n| endpoint(&format!("engine-s{n}"), "engines", "south", 9_300 + n));
-    world.handle(listed(far.collect()));
+    let remote = (0..20).map(|n| endpoint(&format!("engine-s{n}"), "engines", "south", 9_300 + n));
+    world.handle(listed(remote.collect()));
     let mut attempts = 0;
     for _ in 0..30 {
         world.pass(10);
@@ -191,7 +191,7 @@
 }
 
 #[test]
-fn doubted_engines_of_the_own_domain_are_asked_who_they_are() {
+fn suspected_engines_of_the_own_domain_are_requested_to_identify_themselves() {
     let mut world = World::ready();
     for port in 0..4 {
         let spec = endpoint(
@@ -207,18 +207,18 @@
         let (request, first) = world.arrive(STREAMS);
         world.end(request, first.unwrap().attempt, CLOSED);
     }
-    let asked = |actions: &[Action]| {
+    let identity_requests = |actions: &[Action]| {
         let named = actions.iter().filter_map(|action| match action {
             Action::RequestIdentity { spec, .. } => Some(spec.clone()),
             _ => None,
         });
         named.collect::<Vec<_>>()
     };
-    assert!(asked(&world.run(1_000)).is_empty());
-    let named = asked(&world.run(600));
+    assert!(identity_requests(&world.run(1_000)).is_empty());
+    let named = identity_requests(&world.run(600));
     assert!(!named.is_empty());
     assert!(named.iter().all(|spec| domain_of(&spec.id) == "north"));
-    // One that is who it was is trusted again; another one is looked at.
+    // An engine that confirms its identity is trusted again; one with another identity is examined.
     let before = named[0].clone();
     world.handle(Event::IdentityReported {
         endpoint: before.id.clone(),
@@ -233,16 +233,16 @@
         instance: "engine-n9".parse().unwrap(),
         born: None,
     });
-    let looks_at = |action: &Action| matches!(action, Action::Identify(spec) if spec.id.as_str() == "engine-n9");
-    assert!(world.actions.iter().any(looks_at));
+    let identifies = |action: &Action| matches!(action, Action::Identify(spec) if spec.id.as_str() == "engine-n9");
+    assert!(world.actions.iter().any(identifies));
 }
 
 #[test]
-fn an_engine_that_the_list_dropped_does_not_come_back_by_its_own_word() {
+fn an_unlisted_engine_is_not_restored_by_its_own_report() {
     let mut world = World::ready();
     let dropped = endpoints()[0].clone();
-    let gone = EndpointChange::Absent(dropped.id.clone());
-    world.handle(changed(vec![gone]));
+    let removed = EndpointChange::Absent(dropped.id.clone());
+    world.handle(changed(vec![removed]));
     world.handle(Event::Identified(dropped.clone()));
     let found = world.dispatcher.fleet().get(&dropped.id);
     assert!(found.is_none_or(|e| !e.takes_work()));
--- a/tests/usage.rs
+++ b/tests/usage.rs
@@ -1,4 +1,4 @@
-//! What runs at endpoints by the word of other boxes, on made-up time.
+//! What runs at endpoints as reported by peers, on a simulated clock.
 
 #[path = "gateway/fixtures.rs"]
 mod fixtures;
@@ -22,7 +22,7 @@
     }
 }
 
-fn news(from: &str, usage: Vec<EndpointUsage>) -> Event {
+fn usage_update(from: &str, usage: Vec<EndpointUsage>) -> Event {
     Event::PeerUsage(UsageUpdate {
         from: from.parse().unwrap(),
         usage,
@@ -40,14 +40,12 @@
     })
 }
 
-fn told(actions: &[Action]) -> Vec<(Vec<SocketAddr>, UsageUpdate)> {
-    let told = actions.iter().filter_map(|action| match action {
-        Action::GossipUsage {
-            to, update: news, ..
-        } => Some((to.clone(), news.clone())),
+fn published(actions: &[Action]) -> Vec<(Vec<SocketAddr>, UsageUpdate)> {
+    let published = actions.iter().filter_map(|action| match action {
+        Action::GossipUsage { to, update, .. } => Some((to.clone(), update.clone())),
         _ => None,
     });
-    told.collect()
+    published.collect()
 }
 
 /// The engine that a new stream goes to.
@@ -63,45 +61,45 @@
 }
 
 #[test]
-fn boxes_of_the_own_domain_are_told_at_once_of_a_prompt_that_was_sent() {
+fn a_sent_prompt_is_published_at_once_to_boxes_of_the_own_domain() {
     let mut world = World::ready();
     world.handle(state("box-2", "north", 7_200, Vec::new()));
     world.handle(state("box-3", "south", 7_201, Vec::new()));
     let engine = next_engine(&mut world);
-    let told = told(&world.run(30));
-    assert_eq!(told.len(), 1);
-    let (to, news) = &told[0];
+    let published = published(&world.run(30));
+    assert_eq!(published.len(), 1);
+    let (to, update) = &published[0];
     assert_eq!(*to, vec!["127.0.0.9:7200".parse().unwrap()]);
-    assert_eq!(news.usage.len(), 1);
-    assert_eq!(news.usage[0].endpoint.id, engine);
-    assert_eq!(news.usage[0].reading, 5_000);
+    assert_eq!(update.usage.len(), 1);
+    assert_eq!(update.usage[0].endpoint.id, engine);
+    assert_eq!(update.usage[0].reading, 5_000);
 }
 
 #[test]
-fn sendings_of_the_same_moment_are_told_together() {
+fn attempts_of_the_same_moment_are_published_together() {
     let mut world = World::ready();
     world.handle(state("box-2", "north", 7_200, Vec::new()));
     next_engine(&mut world);
     next_engine(&mut world);
-    let told = told(&world.run(30));
-    assert_eq!(told.len(), 1);
-    assert_eq!(told[0].1.usage.len(), 2);
+    let published = published(&world.run(30));
+    assert_eq!(published.len(), 1);
+    assert_eq!(published[0].1.usage.len(), 2);
 }
 
 #[rstest]
 #[case::by_its_news(false)]
 #[case::by_its_account(true)]
-fn an_engine_that_reads_the_prompt_of_another_box_is_left_alone(#[case] whole: bool) {
+fn an_engine_that_reads_the_prompt_of_another_box_is_avoided(#[case] whole: bool) {
     let mut world = World::ready();
     for (busy, free) in [("engine-n1", "engine-n2"), ("engine-n2", "engine-n1")] {
         let reads = vec![usage(busy, 1, 5_000)];
         let event = if whole {
             state("box-2", "north", 7_200, reads)
         } else {
-            news("box-2", reads)
+            usage_update("box-2", reads)
         };
         world.handle(event);
-        world.handle(news("box-2", vec![usage(free, 0, 0)]));
+        world.handle(usage_update("box-2", vec![usage(free, 0, 0)]));
         let (request, sent) = world.arrive(STREAMS);
         assert_eq!(sent.unwrap().endpoint.as_str(), free);
         world.handle(Event::CallerDisconnected(request));
@@ -109,9 +107,9 @@
 }
 
 #[test]
-fn prompts_of_other_boxes_are_taken_to_be_read_by_and_by() {
+fn prompts_of_other_boxes_are_assumed_to_be_read_gradually() {
     let mut world = World::ready();
-    world.handle(news("box-2", vec![usage("engine-n1", 1, 5_000)]));
+    world.handle(usage_update("box-2", vec![usage("engine-n1", 1, 5_000)]));
     world.pass(400);
     assert_eq!(running_at(&world, "engine-n1"), (1, 3_000));
     world.pass(700);
@@ -121,21 +119,21 @@
 }
 
 #[test]
-fn what_a_box_told_last_takes_the_place_of_what_it_told_before() {
+fn the_latest_report_of_a_box_replaces_its_earlier_ones() {
     let mut world = World::ready();
-    world.handle(news("box-2", vec![usage("engine-n1", 2, 9_000)]));
-    world.handle(news("box-3", vec![usage("engine-n1", 1, 100)]));
-    world.handle(news("box-2", vec![usage("engine-n1", 1, 0)]));
+    world.handle(usage_update("box-2", vec![usage("engine-n1", 2, 9_000)]));
+    world.handle(usage_update("box-3", vec![usage("engine-n1", 1, 100)]));
+    world.handle(usage_update("box-2", vec![usage("engine-n1", 1, 0)]));
     assert_eq!(running_at(&world, "engine-n1"), (2, 100));
-    // A whole account leaves out what has ended.
+    // A full report omits what has ended.
     world.handle(state("box-2", "north", 7_200, Vec::new()));
     assert_eq!(running_at(&world, "engine-n1"), (1, 100));
 }
 
 #[test]
-fn news_of_an_endpoint_that_is_not_listed_are_no_use() {
+fn updates_about_an_unlisted_endpoint_are_ignored() {
     let mut world = World::ready();
-    world.handle(news("box-2", vec![usage("engine-x9", 1, 5_000)]));
+    world.handle(usage_update("box-2", vec![usage("engine-x9", 1, 5_000)]));
     assert!(
         world
             .dispatcher
@@ -153,30 +151,33 @@
         let from = format!("box-{}", number + 2);
         world.handle(state(&from, domain, 7_300 + number, Vec::new()));
     }
-    let (mut near, mut far) = (0, 0);
+    let (mut local, mut remote) = (0, 0);
     for action in world.run(2_500) {
         if let Action::Gossip { to, .. } = action {
             let ports = to.iter().map(SocketAddr::port);
-            let is_near = ports.map(|port| port >= 7_300 && port % 2 == 0);
-            for is_near in is_near {
-                if is_near { near += 1 } else { far += 1 }
+            let is_local = ports.map(|port| port >= 7_300 && port % 2 == 0);
+            for is_local in is_local {
+                if is_local { local += 1 } else { remote += 1 }
             }
         }
     }
-    assert!(near > far && far > 0, "{near} near, {far} far");
+    assert!(
+        local > remote && remote > 0,
+        "{local} local, {remote} remote"
+    );
 }
 
 #[test]
-fn calls_at_plain_services_are_told_when_they_begin_and_when_they_end() {
+fn calls_at_plain_services_are_published_when_they_begin_and_when_they_end() {
     let mut world = World::ready();
     world.handle(state("box-2", "north", 7_200, Vec::new()));
     let (request, attempt) = world.arrive(QUOTES);
     let attempt = attempt.unwrap();
-    let begun = told(&world.run(5));
+    let begun = published(&world.run(5));
     assert_eq!(begun.len(), 1, "{begun:?}");
     assert_eq!(begun[0].1.usage[0].running, 1);
     world.end(request, attempt.attempt, Outcome::Answered { status: 200 });
-    let ended = told(&world.run(5));
+    let ended = published(&world.run(5));
     assert_eq!(ended.len(), 1, "{ended:?}");
     assert_eq!(ended[0].1.usage[0].running, 0);
     let answers = &ended[0].1.answers;
@@ -184,9 +185,9 @@
     assert_eq!(ended, (1, 0, 0));
 }
 
-/// 84 requests a second on a box of 25 peers would make 2,000 datagrams a second.
+/// Without a bound, 84 requests a second on a box with 25 peers would make 2,000 datagrams a second.
 #[test]
-fn news_of_attempts_keep_to_a_rate() {
+fn updates_about_attempts_are_rate_limited() {
     let mut world = World::ready();
     for number in 0..24 {
         let from = format!("box-{}", number + 2);
@@ -195,13 +196,13 @@
     let mut datagrams = 0;
     for _ in 0..84 {
         let (request, attempt) = world.arrive(QUOTES);
-        datagrams += told(&world.run(6))
+        datagrams += published(&world.run(6))
             .iter()
             .map(|(to, _)| to.len())
             .sum::<usize>();
         let attempt = attempt.unwrap().attempt;
         world.end(request, attempt, Outcome::Answered { status: 200 });
-        datagrams += told(&world.run(6))
+        datagrams += published(&world.run(6))
             .iter()
             .map(|(to, _)| to.len())
             .sum::<usize>();
@@ -210,9 +211,9 @@
     assert!((250..=400).contains(&datagrams), "{datagrams}");
 }
 
-fn far(from: &str, domain: &str, age_ms: u32, running: u32) -> Event {
+fn remote_sum(from: &str, domain: &str, age_ms: u32, running: u32) -> Event {
     let Event::Peer(mut state) = state(from, "south", 7_400, Vec::new()) else {
-        unreachable!("it is a state");
+        unreachable!("the event is a peer state");
     };
     state.domain_usage = vec![DomainUsage {
         domain: domain.parse().unwrap(),
@@ -225,44 +226,51 @@
     Event::Peer(state)
 }
 
-/// A mirror stands in another domain and takes memory there, which the boxes there must know of.
+/// A mirror is placed in another domain and uses memory there, which the boxes of that domain must know of.
 #[test]
-fn boxes_of_other_domains_are_told_of_engines_and_of_sums_of_plain_services() {
+fn engines_and_sums_of_plain_services_are_published_to_other_domains() {
     let mut world = World::ready();
     world.handle(state("box-2", "south", 7_200, Vec::new()));
     let attempt = world.arrive(STREAMS).1.unwrap();
     world.arrive(QUOTES);
-    let told = world.run(600).into_iter().find_map(|action| match action {
+    let published = world.run(600).into_iter().find_map(|action| match action {
         Action::Gossip { state, .. } if state.members_of.as_str() == "south" => Some(*state),
         _ => None,
     });
-    let told = told.unwrap();
-    let engines: Vec<&str> = told.usage.iter().map(|u| u.endpoint.id.as_str()).collect();
-    assert!(engines.contains(&attempt.endpoint.as_str()), "{told:?}");
+    let published = published.unwrap();
+    let engines: Vec<&str> = published
+        .usage
+        .iter()
+        .map(|u| u.endpoint.id.as_str())
+        .collect();
+    assert!(
+        engines.contains(&attempt.endpoint.as_str()),
+        "{published:?}"
+    );
     assert_eq!(engines.len(), 2, "the engine and the host of its mirror");
-    let sums = &told.domain_usage[0];
+    let sums = &published.domain_usage[0];
     assert_eq!(sums.domain.as_str(), "north");
     assert_eq!(sums.usage.len(), 1);
     assert_eq!(sums.usage[0].running, 1);
 }
 
 #[test]
-fn the_newest_sum_of_another_domain_counts_whoever_tells_it() {
+fn the_newest_sum_of_another_domain_counts_whoever_reports_it() {
     let mut world = World::ready();
     world.run(1_000);
-    world.handle(far("box-7", "south", 0, 5));
-    world.handle(far("box-8", "south", 300, 2));
+    world.handle(remote_sum("box-7", "south", 0, 5));
+    world.handle(remote_sum("box-8", "south", 300, 2));
     assert_eq!(running_at(&world, "till-s1").0, 5);
     world.run(200);
-    world.handle(far("box-8", "south", 10, 3));
+    world.handle(remote_sum("box-8", "south", 10, 3));
     assert_eq!(running_at(&world, "till-s1").0, 3);
-    // What is told of the own domain is counted by its boxes' own accounts.
-    world.handle(far("box-9", "north", 0, 4));
+    // Usage in the own domain is counted from the reports of its own boxes.
+    world.handle(remote_sum("box-9", "north", 0, 4));
     assert_eq!(running_at(&world, "till-s1").0, 3);
 }
 
 #[test]
-fn a_server_that_fails_for_other_boxes_is_left_alone() {
+fn a_server_that_fails_for_other_boxes_is_avoided() {
     let mut world = World::ready();
     let answers = |endpoint: &str, served, errors| EndpointAnswers {
         endpoint: endpoint.parse().unwrap(),
@@ -271,29 +279,33 @@
         broken: 0,
     };
     let first = |world: &mut World| world.arrive(QUOTES).1.unwrap().endpoint;
-    // One error in five answers of the same service everywhere is no fault of a server.
-    let told = |near, far| {
+    // One error in five answers at all servers of a service is no fault of one server.
+    let report = |local, remote| {
         Event::PeerUsage(UsageUpdate {
             from: "box-2".parse().unwrap(),
             usage: Vec::new(),
-            answers: vec![near, far],
+            answers: vec![local, remote],
             totals: Vec::new(),
             samples: Vec::new(),
             rollouts: Vec::new(),
         })
     };
-    world.handle(told(answers("till-n1", 16, 4), answers("till-s1", 16, 4)));
+    world.handle(report(answers("till-n1", 16, 4), answers("till-s1", 16, 4)));
     assert_eq!(first(&mut world).as_str(), "till-n1");
-    world.handle(told(answers("till-n1", 12, 8), answers("till-s1", 20, 0)));
-    world.handle(told(answers("till-n1", 12, 8), answers("till-s1", 20, 0)));
+    world.handle(report(answers("till-n1", 12, 8), answers("till-s1", 20, 0)));
+    world.handle(report(answers("till-n1", 12, 8), answers("till-s1", 20, 0)));
     assert_eq!(first(&mut world).as_str(), "till-s1");
     world.run(9_000);
-    assert_eq!(first(&mut world).as_str(), "till-n1", "it is tried again");
+    assert_eq!(
+        first(&mut world).as_str(),
+        "till-n1",
+        "the server is tried again"
+    );
 }
 
-/// A mirror at an engine that fails is a mirror less.
+/// A mirror at a failing engine is of no use.
 #[test]
-fn a_mirror_does_not_stand_at_an_engine_that_fails_for_other_boxes() {
+fn a_mirror_is_not_placed_at_an_engine_that_fails_for_other_boxes() {
     let mut world = World::ready();
     for (failing, sound) in [("engine-s1", 9_004), ("engine-s2", 9_003)] {
         let answers = EndpointAnswers {
