--- a/tests/rollout_end.rs
+++ b/tests/rollout_end.rs
@@ -1,4 +1,4 @@
-//! How a service leaves the old version at the end of a roll-out, and what remains of a finished one.
+//! The end of a roll-out: how a box stops using the old version, and what it keeps of a finished order.
 
 #[path = "gateway/fixtures.rs"]
 mod fixtures;
@@ -19,7 +19,7 @@
 };
 
 #[test]
-fn an_order_that_is_finished_moves_nothing() {
+fn a_completed_order_keeps_its_target_and_writes_nothing() {
     let mut world = with_tills();
     read(
         &mut world,
@@ -30,33 +30,35 @@
     assert_eq!(writes(&done), []);
 }
 
-/// What the own domain was told of how far boxes are.
-fn told_notes(actions: &[Action]) -> usize {
-    let news = actions.iter().filter_map(|action| match action {
-        Action::GossipUsage { update: news, .. } => Some(news.rollouts.len()),
+/// Number of roll-out progress reports published within the box's own failure domain.
+fn published_progress(actions: &[Action]) -> usize {
+    let updates = actions.iter().filter_map(|action| match action {
+        Action::GossipUsage {
+            update: updates, ..
+        } => Some(updates.rollouts.len()),
         _ => None,
     });
-    news.sum()
+    updates.sum()
 }
 
-/// Objects of finished orders stay in the store for weeks.
+/// Objects of finished orders stay in the store for weeks, so they must not cause samples or ticks.
 #[rstest]
 #[case::completed(RolloutStatus::Completed)]
 #[case::rolled_back(RolloutStatus::RolledBack)]
-fn a_finished_order_is_told_without_answers_and_needs_no_ticks(#[case] status: RolloutStatus) {
+fn a_finished_order_is_published_without_samples_and_needs_no_ticks(#[case] status: RolloutStatus) {
     let mut world = with_tills();
     world.handle(Event::Peer(box_state("box-3", "north", "127.0.0.8:7200")));
     world.handle(Event::Peer(box_state("box-2", "south", "127.0.0.9:7200")));
     read(&mut world, object(order("v2", 12), 10, None));
     let (_, done) = call(&mut world, 2_000, 0);
-    let told = published_states(&done);
-    assert!(told.iter().any(|state| !state.tallies.is_empty()));
+    let published = published_states(&done);
+    assert!(published.iter().any(|state| !state.tallies.is_empty()));
     read(&mut world, object(order("v2", 12), 11, Some(status)));
     let (_, done) = call(&mut world, 1_000, 0);
-    let told = published_states(&done);
-    assert!(!told.is_empty());
-    assert!(told.iter().all(|state| state.tallies.is_empty()));
-    assert_eq!(told_notes(&done), 0);
+    let published = published_states(&done);
+    assert!(!published.is_empty());
+    assert!(published.iter().all(|state| state.tallies.is_empty()));
+    assert_eq!(published_progress(&done), 0);
     let is_idle = (0..1_000).any(|_| {
         world.run(1);
         world.dispatcher.next_tick() > world.now.after(LONG_PAUSE)
@@ -64,7 +66,8 @@
     assert!(is_idle);
 }
 
-/// A box before tills with an order that switches, and which another box of its domain holds up.
+/// A box whose order is in the switch phase and stays there, because another box of its failure domain has
+/// not reported that it left the old version.
 fn switching() -> World {
     let mut world = with_tills();
     read(&mut world, object(order("v2", 12), 10, None));
@@ -78,7 +81,7 @@
     world
 }
 
-/// Has no till of the new version take work, and sends a request; returns the version that got it.
+/// Marks all endpoints of the new version as leaving and sends a request. Returns the version that got it.
 fn place_without_target(world: &mut World) -> Option<String> {
     let leaving = |number| EndpointSpec {
         leaving: true,
@@ -95,32 +98,34 @@
     Some(version)
 }
 
-/// Whether the own domain was told lately that this box has left the old version.
-fn has_said_it_left(actions: &[Action]) -> bool {
-    let news = actions.iter().filter_map(|action| match action {
-        Action::GossipUsage { update: news, .. } => Some(&news.rollouts),
+/// Whether one of these actions reports to the own failure domain that this box has left the old version.
+fn has_reported_leaving(actions: &[Action]) -> bool {
+    let updates = actions.iter().filter_map(|action| match action {
+        Action::GossipUsage {
+            update: updates, ..
+        } => Some(&updates.rollouts),
         _ => None,
     });
-    news.flatten().any(|note| note.is_clear)
+    updates.flatten().any(|report| report.is_clear)
 }
 
 #[test]
-fn a_box_that_needs_the_old_version_uses_it_and_does_not_say_that_it_left() {
+fn a_box_that_needs_the_old_version_uses_it_and_does_not_report_leaving() {
     let mut world = switching();
     assert_eq!(place_without_target(&mut world).as_deref(), Some("v1"));
-    assert!(!has_said_it_left(&world.run(300)));
+    assert!(!has_reported_leaving(&world.run(300)));
 }
 
 #[test]
-fn a_box_that_said_that_it_left_the_old_version_does_not_go_back() {
+fn a_box_that_reported_leaving_the_old_version_does_not_use_it_again() {
     let mut world = switching();
-    assert!(has_said_it_left(&world.run(300)));
+    assert!(has_reported_leaving(&world.run(300)));
     assert_eq!(phase(&world), Some(RolloutPhase::Switch));
     assert_eq!(place_without_target(&mut world), None);
 }
 
 #[test]
-fn a_stream_goes_on_at_the_target_shortly_before_the_end() {
+fn a_stream_moves_to_the_target_shortly_before_the_order_ends() {
     let mut world = World::empty(GENEROUS);
     world.handle(Event::Table(std::sync::Arc::new(table(1))));
     let engine = |id: &str, domain: &str, port, version: &str| EndpointSpec {
@@ -168,7 +173,10 @@
             _ => None,
         });
         if let Some(host) = snapshot {
-            assert!(host.ends_with('2'), "a host that stays: {host}");
+            assert!(
+                host.ends_with('2'),
+                "expected a snapshot host of the target version: {host}"
+            );
             world.handle(Event::SnapshotTaken {
                 request,
                 attempt: first.attempt,
@@ -184,6 +192,6 @@
             break;
         }
     }
-    let next = next.expect("it does not stay until the old version stops");
+    let next = next.expect("the stream did not move before the old version stopped");
     assert!(next.endpoint.ends_with('2') && next.resume_from.is_some());
 }
--- a/tests/rollout_fleets.rs
+++ b/tests/rollout_fleets.rs
@@ -1,8 +1,8 @@
-//! Orders of roll-outs in whole fleets on made-up time, played by the emulator and judged by it.
+//! Roll-out orders in whole fleets on a simulated clock. The emulator runs each case and scores it.
 
 use magpiemoor_lab::gateway::rollout::score::{Break, EXPOSURE_SHARE, EXPOSURE_SLACK};
 use magpiemoor_lab::gateway::rollout::{
-    Case, Decider, Fault, Outcome as Played, Shows, Traffic, Version,
+    Case, Decider, Fault, Outcome as RunOutcome, Shows, Traffic, Version,
 };
 use rstest::rstest;
 
@@ -19,9 +19,9 @@
     }
 }
 
-fn assert_kept(played: &Played) {
-    assert!(!played.is_broken(), "{played:?}");
-    assert!(played.is_right && played.is_in_time, "{played:?}");
+fn assert_rules_kept(outcome: &RunOutcome) {
+    assert!(!outcome.is_broken(), "{outcome:?}");
+    assert!(outcome.is_right && outcome.is_in_time, "{outcome:?}");
 }
 
 #[rstest]
@@ -37,44 +37,51 @@
 #[case::slow(Version::Slow(4.0), Shows::AtOnce, Fault::None)]
 #[case::slow_while_the_store_is_late(Version::Slow(4.0), Shows::AtOnce, Fault::StoreLate)]
 #[case::failing_with_its_writer_killed(Version::Failing(0.6), Shows::AtOnce, Fault::WriterKilled)]
-fn a_fleet_moves_to_a_good_version_and_leaves_a_bad_one(
+fn a_fleet_completes_a_good_version_and_rolls_back_a_bad_one(
     #[case] version: Version,
     #[case] shows: Shows,
     #[case] fault: Fault,
 ) {
-    assert_kept(&case(version, shows, fault).play());
+    assert_rules_kept(&case(version, shows, fault).play());
 }
 
 #[test]
 fn streams_leave_bad_engines() {
-    let played = Case {
+    let case = Case {
         engines: true,
         ..case(Version::Slow(4.0), Shows::AtOnce, Fault::None)
     };
-    assert_kept(&played.play());
+    assert_rules_kept(&case.play());
 }
 
-/// Where more streams run than a bad version may get, a good one is late, and gets no more than that
-/// until its time is over. Where few streams come it is tried with more of them, and goes on once it has
-/// answered enough.
+/// Where more streams run than the exposure limit allows, a good version gets no more than that limit until
+/// the order's duration is over, so it completes late. Where few streams arrive, the canary gets a larger
+/// share of them, and the roll-out goes on once there are enough answers.
 #[rstest]
 #[case::many(Traffic::EVEN, 18.0)]
 #[case::few(Traffic::FEW, 20.0)]
-fn streams_move_after_the_time(#[case] traffic: Traffic, #[case] seconds: f64) {
-    let played = Case {
+fn a_good_version_of_a_streaming_service_completes_late_within_the_exposure_limit(
+    #[case] traffic: Traffic,
+    #[case] seconds: f64,
+) {
+    let case = Case {
         engines: true,
         traffic,
         ..case(Version::Good, Shows::AtOnce, Fault::None)
     };
-    let played = played.play();
-    assert!(played.is_right && !played.is_broken(), "{played:?}");
-    let allowed = EXPOSURE_SHARE * played.requests as f64 + EXPOSURE_SLACK;
-    assert!((played.exposed as f64) < allowed, "{played:?}");
-    assert!(played.verdict_s.is_some_and(|s| s < seconds), "{played:?}");
+    let outcome = case.play();
+    assert!(outcome.is_right && !outcome.is_broken(), "{outcome:?}");
+    let allowed = EXPOSURE_SHARE * outcome.requests as f64 + EXPOSURE_SLACK;
+    assert!((outcome.exposed as f64) < allowed, "{outcome:?}");
+    assert!(
+        outcome.verdict_s.is_some_and(|s| s < seconds),
+        "{outcome:?}"
+    );
 }
 
-/// A fault that no canary shows: only at endpoints busier than any is, or on a route with few requests.
-/// Nobody can know of it in time, so what bounds it is how much a version gets, whatever is known of it.
+/// Faults that a canary does not show in time: they occur only at endpoints under a higher load than the
+/// canary's, on a route with few requests, or late. The verdict can't bound them, so the exposure limit has
+/// to, whatever the evidence says.
 #[rstest]
 #[case::engines_under_load(true, Shows::UnderLoad(16), Traffic::LOW_TRAFFIC_ROUTE)]
 #[case::engines_on_a_low_traffic_route(true, Shows::OnOneRoute, Traffic::LOW_TRAFFIC_ROUTE)]
@@ -82,70 +89,70 @@
 #[case::plain_under_load(false, Shows::UnderLoad(40), Traffic::LOW_TRAFFIC_ROUTE)]
 #[case::plain_on_a_low_traffic_route(false, Shows::OnOneRoute, Traffic::LOW_TRAFFIC_ROUTE)]
 #[case::plain_late(false, Shows::Later(11.0), Traffic::EVEN)]
-fn a_version_whose_fault_nobody_sees_gets_no_more_than_a_bad_one_may(
+fn a_version_whose_fault_is_not_detected_stays_within_the_exposure_limit(
     #[case] engines: bool,
     #[case] shows: Shows,
     #[case] traffic: Traffic,
     #[values(0.3, 0.6)] share: f64,
     #[values(Fault::None, Fault::DomainCutAtEnd, Fault::StoreDown)] fault: Fault,
 ) {
-    let played = Case {
+    let case = Case {
         engines,
         traffic,
         ..case(Version::Failing(share), shows, fault)
     };
-    let played = played.play();
-    assert!(!played.breaks(Break::OverExposed), "{played:?}");
-    assert!(!played.breaks(Break::AfterRollback), "{played:?}");
+    let outcome = case.play();
+    assert!(!outcome.breaks(Break::OverExposed), "{outcome:?}");
+    assert!(!outcome.breaks(Break::AfterRollback), "{outcome:?}");
 }
 
-/// What a cut link does is not held against a version, and the old version stops only once all boxes
-/// have left it, those behind the link and a frozen one too.
+/// Failures caused by a cut link don't count against a version. The old version stops only once all boxes
+/// have left it, including those behind the cut link and a frozen one.
 #[rstest]
 #[case::early(Fault::DomainCut)]
 #[case::while_it_ends(Fault::DomainCutAtEnd)]
 #[case::frozen(Fault::BoxFrozenAtEnd)]
 fn a_good_version_is_not_rolled_back_for_a_cut_domain_or_a_frozen_box(#[case] fault: Fault) {
     for seed in 1..=16 {
-        let played = Case {
+        let case = Case {
             seed,
             ..case(Version::Good, Shows::AtOnce, fault)
         };
-        let played = played.play();
-        assert!(played.is_right && !played.is_broken(), "{played:?}");
+        let outcome = case.play();
+        assert!(outcome.is_right && !outcome.is_broken(), "{outcome:?}");
     }
 }
 
-/// The judge is one: deciders that are wrong on purpose fail it where they should.
+/// Checks the scoring itself: deciders that are wrong on purpose have to fail it.
 #[test]
-fn a_decider_that_sends_all_at_once_exposes_callers() {
-    let played = Case {
+fn a_decider_that_sends_all_at_once_breaks_the_exposure_limit() {
+    let case = Case {
         decider: Decider::AllAtOnce,
         ..case(Version::Failing(0.25), Shows::Later(3.0), Fault::None)
     };
-    assert!(played.play().breaks(Break::OverExposed));
+    assert!(case.play().breaks(Break::OverExposed));
 }
 
 #[test]
-fn a_decider_that_takes_nothing_for_bad_completes_what_it_must_not() {
-    let played = Case {
+fn a_decider_that_finds_no_version_bad_completes_a_bad_one() {
+    let case = Case {
         decider: Decider::NeverBad,
         ..case(Version::Failing(0.6), Shows::AtOnce, Fault::None)
     };
-    let played = played.play();
-    assert!(!played.is_right, "{played:?}");
-    assert!(played.breaks(Break::AfterRollback), "{played:?}");
+    let outcome = case.play();
+    assert!(!outcome.is_right, "{outcome:?}");
+    assert!(outcome.breaks(Break::AfterRollback), "{outcome:?}");
 }
 
 #[test]
 fn a_decider_that_blames_a_domains_fault_on_the_version_rolls_a_good_one_back() {
     let wrong = (1..=8).filter(|seed| {
-        let played = Case {
+        let case = Case {
             seed: *seed,
             decider: Decider::BlamesDomain,
             ..case(Version::Good, Shows::AtOnce, Fault::Domain)
         };
-        !played.play().is_right
+        !case.play().is_right
     });
     assert!(wrong.count() > 0);
 }
--- a/tests/rollout_verdict.rs
+++ b/tests/rollout_verdict.rs
@@ -1,11 +1,11 @@
-//! What is held of a version by its answers and those beside it.
+//! The verdict on a version, from its own answers and those of the version before it.
 
 use magpiemoor::gateway::dispatch::rollout::evidence::{FAILED, TimeKind, bucket_of, series_of};
 use magpiemoor::gateway::dispatch::rollout::verdict::{Series, Stratum, Verdict, judge};
 use magpiemoor::schema::AnswerTimes;
 use rstest::rstest;
 
-/// Answers of a kind: so many fine ones, failed ones, and ones of three times the time.
+/// Answer times with these numbers of good answers, failed ones, and slow ones that took three times as long.
 fn times(fine: u32, failed: u32, slow: u32) -> AnswerTimes {
     let mut times = AnswerTimes::default();
     for number in 0..fine {
@@ -54,7 +54,7 @@
     matches!(judge(series, None), Verdict::Sound { .. })
 }
 
-/// Three domains with a target endpoint each.
+/// Three failure domains with one endpoint of the target in each.
 fn three(baseline: &AnswerTimes, servers: [AnswerTimes; 3]) -> Vec<Stratum> {
     let strata = servers.map(|server| stratum(baseline.clone(), &[server]));
     strata.into()
@@ -62,7 +62,7 @@
 
 #[test]
 fn a_version_that_fails_as_much_as_the_one_before_is_sound() {
-    // One call in seven fails at every sound endpoint.
+    // About one call in seven fails at the endpoints of both versions.
     let baseline = times(120, 20, 0);
     let servers = [times(13, 2, 0), times(12, 3, 0), times(14, 1, 0)];
     assert!(is_sound(&[series("r", three(&baseline, servers))]));
@@ -78,23 +78,23 @@
 }
 
 #[test]
-fn the_fault_of_one_endpoint_is_not_that_of_its_version() {
+fn the_fault_of_one_endpoint_does_not_make_its_version_bad() {
     let baseline = times(200, 2, 0);
     let servers = [times(2, 30, 0), times(20, 0, 0), times(20, 0, 0)];
     let all = [series("r", three(&baseline, servers))];
     assert!(!is_bad(&all));
-    assert!(is_sound(&all), "the others answer well");
+    assert!(is_sound(&all), "the other two endpoints answer well");
 }
 
 #[test]
-fn what_strikes_a_failure_domain_strikes_both_versions() {
-    let struck = stratum(times(40, 60, 0), &[times(8, 12, 0), times(7, 13, 0)]);
-    let spared = || stratum(times(100, 1, 0), &[times(20, 0, 0), times(20, 0, 0)]);
-    assert!(!is_bad(&[series("r", vec![struck, spared(), spared()])]));
+fn a_failure_domain_where_both_versions_fail_does_not_make_the_target_bad() {
+    let failing = stratum(times(40, 60, 0), &[times(8, 12, 0), times(7, 13, 0)]);
+    let healthy = || stratum(times(100, 1, 0), &[times(20, 0, 0), times(20, 0, 0)]);
+    assert!(!is_bad(&[series("r", vec![failing, healthy(), healthy()])]));
 }
 
 #[test]
-fn one_route_is_enough() {
+fn one_bad_route_makes_the_version_bad() {
     let baseline = times(150, 1, 0);
     let fine = || times(20, 0, 0);
     let bad = || times(10, 10, 0);
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn a_version_that_turned_bad_is_seen_by_its_newer_answers() {
+fn a_version_that_turned_bad_is_detected_by_its_newer_answers() {
     let baseline = times(400, 4, 0);
     let servers = || [times(60, 12, 0), times(60, 12, 0), times(60, 12, 0)];
     let all = [series("r", three(&baseline, servers()))];
@@ -119,10 +119,7 @@
 #[case::no_answer_of_the_target(times(100, 1, 0), times(0, 0, 0))]
 #[case::too_few(times(100, 1, 0), times(3, 0, 0))]
 #[case::nothing_to_compare_with(times(5, 0, 0), times(20, 0, 0))]
-fn what_has_not_answered_enough_is_not_known(
-    #[case] baseline: AnswerTimes,
-    #[case] server: AnswerTimes,
-) {
+fn too_few_answers_give_no_verdict(#[case] baseline: AnswerTimes, #[case] server: AnswerTimes) {
     let all = [series("r", vec![stratum(baseline, &[server])])];
     assert_eq!(judge(&all, None), Verdict::Undecided);
 }
@@ -140,7 +137,7 @@
 }
 
 #[test]
-fn counts_of_another_kind_are_added_and_taken_off() {
+fn answer_counts_are_added_and_subtracted() {
     let mut all = times(3, 1, 2);
     all.add_all(&times(1, 1, 0));
     assert_eq!((all.all(), all.failed), (8, 2));
@@ -148,7 +145,7 @@
     assert_eq!((newer.all(), newer.failed), (2, 1));
 }
 
-/// A route on which each version fails every request, as with a back end of theirs that is down.
+/// On one route each version fails every request, as when a back end that they share is down.
 #[test]
 fn a_version_that_fails_where_all_fail_is_not_bad() {
     let strata = || three(&times(0, 400, 0), [0, 1, 2].map(|_| times(0, 300, 0)));
@@ -157,9 +154,9 @@
     assert!(is_bad(&[series("down", strata()), series("up", bad)]));
 }
 
-/// Counts come from peers, in 32 bits.
+/// Peers send counts in 32 bits. Sums of the greatest ones must not overflow.
 #[test]
-fn counts_as_great_as_can_be_told_are_judged() {
+fn the_greatest_counts_do_not_overflow() {
     let greatest = AnswerTimes {
         failed: u32::MAX,
         took: vec![u32::MAX; 31],
--- a/tests/rollouts.rs
+++ b/tests/rollouts.rs
@@ -1,5 +1,5 @@
-//! Orders of roll-outs on made-up time: one box with the store's object in its hands. How they end is in
-//! `rollout_end.rs`, whole fleets are in `rollout_fleets.rs`.
+//! Roll-out orders on a simulated clock, for a single box that reads the order's object from the store.
+//! `rollout_end.rs` covers the end of a roll-out, `rollout_fleets.rs` covers whole fleets.
 
 #[path = "gateway/fixtures.rs"]
 mod fixtures;
@@ -17,16 +17,18 @@
     LONG_PAUSE, call, object, order, phase, published_states, read, till, with_tills, writes,
 };
 
-/// Sites without roll-outs read an empty list each time that a watcher begins.
+/// At sites without roll-outs, each start of a watcher reads an empty list. It must not trigger a message to
+/// peers or an earlier tick.
 #[test]
-fn an_empty_list_of_orders_has_nobody_told() {
+fn an_empty_list_of_orders_publishes_nothing() {
     let mut world = with_tills();
     world.run(10_000);
-    // Just after a message to peers the next one is not due for long.
-    let is_due_later = |world: &World| world.dispatcher.next_tick() > world.now.after(LONG_PAUSE);
+    // Right after a message to peers, the next tick is more than `LONG_PAUSE` away.
+    let is_next_tick_late =
+        |world: &World| world.dispatcher.next_tick() > world.now.after(LONG_PAUSE);
     let is_settled = (0..1_000).any(|_| {
         world.run(1);
-        is_due_later(&world)
+        is_next_tick_late(&world)
     });
     assert!(is_settled);
     let due = world.dispatcher.next_tick();
@@ -40,23 +42,25 @@
 }
 
 #[test]
-fn without_an_order_versions_are_served_alike() {
+fn without_an_order_all_versions_get_requests() {
     let mut world = with_tills();
     let (sent, done) = call(&mut world, 2_000, 0);
     assert!(sent["v1"] > 50 && sent["v2"] > 50, "{sent:?}");
     assert_eq!(writes(&done), []);
 }
 
-/// Answers that peers were told of.
-fn told_answers(actions: &[Action]) -> usize {
-    let news = actions.iter().filter_map(|action| match action {
-        Action::GossipUsage { update: news, .. } => Some(news.samples.len()),
+/// Number of answer samples published to peers.
+fn published_samples(actions: &[Action]) -> usize {
+    let updates = actions.iter().filter_map(|action| match action {
+        Action::GossipUsage {
+            update: updates, ..
+        } => Some(updates.samples.len()),
         _ => None,
     });
-    news.sum()
+    updates.sum()
 }
 
-/// An attempt that gets no connection says nothing of a version; one that got one does.
+/// An attempt that gets no connection is no evidence about a version. An attempt that got one is.
 #[rstest]
 #[case::without(false)]
 #[case::with(true)]
@@ -76,11 +80,11 @@
         });
     }
     let done = world.run(100);
-    assert_eq!(told_answers(&done) > 0, is_connected);
+    assert_eq!(published_samples(&done) > 0, is_connected);
 }
 
 #[test]
-fn a_version_gets_its_share_then_all_and_the_store_says_so() {
+fn a_version_gets_its_share_then_all_and_the_store_gets_its_status() {
     let mut world = with_tills();
     let done = read(&mut world, object(order("v2", 12), 10, None));
     assert_eq!(phase(&world), Some(RolloutPhase::Canary));
@@ -115,15 +119,18 @@
 }
 
 #[test]
-fn a_bad_version_is_left_by_itself_and_the_store_is_told_when_it_answers() {
+fn a_bad_version_is_rolled_back_and_its_status_is_written_until_the_store_confirms() {
     let mut world = with_tills();
     read(&mut world, object(order("v2", 12), 10, None));
     let (_, done) = call(&mut world, 6_000, 6);
     assert_eq!(phase(&world), Some(RolloutPhase::Bad));
     let rolled_back = |write: &&StatusWrite| write.status == RolloutStatus::RolledBack;
-    let tries = writes(&done);
-    let tries = tries.iter().filter(rolled_back).count();
-    assert!(tries > 1, "it is written until the object says so");
+    let written = writes(&done);
+    let rollback_writes = written.iter().filter(rolled_back).count();
+    assert!(
+        rollback_writes > 1,
+        "the status is written again until the object shows it"
+    );
     let (sent, _) = call(&mut world, 1_000, 6);
     assert_eq!(sent.get("v2"), None);
     read(
@@ -136,37 +143,38 @@
     assert_eq!(
         sent.get("v2"),
         None,
-        "it stays left for as long as the object is there"
+        "the version gets no requests while the object exists"
     );
 }
 
 #[test]
-fn a_write_that_met_another_revision_waits_for_the_object() {
+fn a_write_refused_for_its_revision_waits_for_the_newer_object() {
     let mut world = with_tills();
     read(&mut world, object(order("v2", 12), 10, None));
     let first = writes(&world.run(300));
-    assert_eq!(first.len(), 1, "one write at a time: {first:?}");
+    assert_eq!(first.len(), 1, "expected one write at a time: {first:?}");
     read(&mut world, object(order("v2", 12), 14, None));
     let second = writes(&world.run(300));
     assert_eq!(second[0].revision, 14);
 }
 
-/// Times go to peers as milliseconds in 32 bits.
+/// Durations are sent to peers as milliseconds in 32 bits. A longer one is sent as the greatest value, not
+/// wrapped to a shorter one.
 #[test]
-fn an_order_for_months_is_told_as_no_shorter_one() {
+fn an_order_longer_than_32_bits_of_ms_is_not_published_as_a_shorter_one() {
     let mut world = with_tills();
     world.handle(Event::Peer(box_state("box-2", "south", "127.0.0.9:7200")));
     read(&mut world, object(order("v2", 5_000_000), 10, None));
-    let told = published_states(&world.run(1_000));
-    assert!(!told.is_empty());
-    assert!(told.iter().all(|state| state.duration_ms == u32::MAX));
+    let published = published_states(&world.run(1_000));
+    assert!(!published.is_empty());
+    assert!(published.iter().all(|state| state.duration_ms == u32::MAX));
 }
 
 #[test]
-fn a_decision_once_told_never_goes_back() {
+fn a_decision_reported_by_a_peer_is_never_reverted() {
     let mut world = with_tills();
     read(&mut world, object(order("v2", 12), 10, None));
-    let told = |phase| {
+    let peer_report = |phase| {
         let state = RolloutState {
             service: "till".parse().unwrap(),
             order: order("v2", 12).id,
@@ -182,9 +190,9 @@
             ..box_state("box-2", "south", "127.0.0.9:7200")
         })
     };
-    world.handle(told(RolloutPhase::Bad));
+    world.handle(peer_report(RolloutPhase::Bad));
     assert_eq!(phase(&world), Some(RolloutPhase::Bad));
-    world.handle(told(RolloutPhase::Switch));
+    world.handle(peer_report(RolloutPhase::Switch));
     assert_eq!(phase(&world), Some(RolloutPhase::Bad));
     let phases = records(&world.actions).into_iter();
     assert_eq!(
@@ -196,7 +204,7 @@
 }
 
 #[test]
-fn a_second_order_for_the_service_takes_the_place_of_the_first() {
+fn a_second_order_for_the_service_replaces_the_first() {
     let mut world = with_tills();
     read(&mut world, object(order("v2", 12), 10, None));
     call(&mut world, 6_000, 6);
@@ -209,7 +217,7 @@
 }
 
 #[test]
-fn an_order_whose_object_is_gone_is_forgotten() {
+fn an_order_whose_object_is_removed_is_dropped() {
     let mut world = with_tills();
     read(&mut world, object(order("v2", 12), 10, None));
     world.handle(Event::Rollouts {
@@ -223,7 +231,7 @@
 }
 
 #[test]
-fn a_target_without_endpoints_costs_no_request() {
+fn a_target_without_endpoints_loses_no_request() {
     let mut world = with_tills();
     read(&mut world, object(order("v9", 6), 10, None));
     let (sent, done) = call(&mut world, 8_000, 0);
@@ -231,7 +239,7 @@
     assert_eq!(
         phase(&world),
         Some(RolloutPhase::Canary),
-        "beyond its time, too"
+        "the canary phase goes on after the order's duration"
     );
     assert!(
         writes(&done)
@@ -241,7 +249,7 @@
 }
 
 #[test]
-fn where_only_the_target_is_left_it_serves() {
+fn the_target_serves_when_no_other_version_has_endpoints() {
     let mut world = with_tills();
     read(&mut world, object(order("v2", 12), 10, None));
     world.run(100);
@@ -251,7 +259,7 @@
 }
 
 #[test]
-fn orders_that_nobody_vouches_for_are_forgotten() {
+fn orders_known_from_peers_alone_expire() {
     let mut world = World::ready();
     let state = RolloutState {
         service: "engines".parse().unwrap(),
