--- a/tests/crash_checks.rs
+++ b/tests/crash_checks.rs
@@ -1,4 +1,4 @@
-//! How a box makes sure that an endpoint ended under a request, and what follows for requests.
+//! How a box verifies that an endpoint's process ended while it ran a request, and what follows for requests.
 
 #[path = "gateway/fixtures.rs"]
 mod fixtures;
@@ -14,7 +14,7 @@
 
 const BROKEN: Outcome = Outcome::Broken(Fault::Closed);
 
-/// A box before six engines of its domain.
+/// A box with six engines in its own failure domain.
 fn world() -> World {
     let mut world = World::ready();
     let engines = (0..6).map(|n| endpoint(&format!("engine-{n}"), "engines", "north", 9_200 + n));
@@ -31,16 +31,16 @@
     checks.collect()
 }
 
-/// The same request, as a caller sends it again.
-fn again(world: &mut World, path: &str, content: Fingerprint) -> Arrival {
+/// The arrival of the same request, as a caller that retries sends it.
+fn resent(world: &mut World, path: &str, content: Fingerprint) -> Arrival {
     Arrival {
         content,
         ..world.arrival(path)
     }
 }
 
-/// Breaks the attempt of a request off, with or without the end of its endpoint; returns the next one.
-fn break_off(
+/// Disconnects a running attempt, with or without the end of its endpoint's process; returns the next attempt.
+fn disconnect_attempt(
     world: &mut World,
     request: RequestNumber,
     attempt: &Attempt,
@@ -59,13 +59,13 @@
     (done, next)
 }
 
-/// Has a request crash so many engines, each alone; returns what was done last.
-fn crash(world: &mut World, content: Fingerprint, engines: usize) -> Vec<Action> {
-    let arrival = again(world, STREAMS, content);
+/// Lets a request crash this many engines, each while it runs alone; returns the last actions.
+fn crash_engines(world: &mut World, content: Fingerprint, engines: usize) -> Vec<Action> {
+    let arrival = resent(world, STREAMS, content);
     let (request, first) = world.arrive_as(arrival);
     let mut attempt = first.unwrap();
     for number in 1..=engines {
-        let (done, next) = break_off(world, request, &attempt, true);
+        let (done, next) = disconnect_attempt(world, request, &attempt, true);
         if number == engines {
             return done;
         }
@@ -77,20 +77,20 @@
 #[test]
 fn the_third_engine_that_ends_is_the_last() {
     let mut world = world();
-    let done = crash(&mut world, Fingerprint(7), 3);
+    let done = crash_engines(&mut world, Fingerprint(7), 3);
     assert_eq!(first_attempt(&done), None);
     assert_eq!(refusal(&done), Some(RefusalReason::Quarantined));
-    let arrival = again(&mut world, STREAMS, Fingerprint(7));
+    let arrival = resent(&mut world, STREAMS, Fingerprint(7));
     let (_, attempt) = world.arrive_as(arrival);
     assert_eq!(attempt, None);
     assert_eq!(refusal(&world.actions), Some(RefusalReason::Quarantined));
 }
 
-/// Seen with real processes: five engines ended within 5 ms, before the first crash was noted.
+/// Guards against several crashes before the first is recorded: five real processes ended within 5 ms.
 #[test]
 fn engines_that_end_at_once_are_no_more_than_three() {
     let mut world = world();
-    let arrival = again(&mut world, STREAMS, Fingerprint(7));
+    let arrival = resent(&mut world, STREAMS, Fingerprint(7));
     let (request, first) = world.arrive_as(arrival);
     let done = world.end(request, first.unwrap().attempt, BROKEN).to_vec();
     let second = first_attempt(&done).unwrap();
@@ -101,28 +101,30 @@
 }
 
 #[test]
-fn another_request_is_served_all_the_same() {
+fn another_request_is_still_served() {
     let mut world = world();
-    crash(&mut world, Fingerprint(7), 3);
+    crash_engines(&mut world, Fingerprint(7), 3);
     assert!(world.arrive(STREAMS).1.is_some());
 }
 
-/// A connection that breaks alone is no crash: servers reset connections when they are full, and cut
+/// A broken connection alone is no crash: servers also reset connections when they are full, and cut
 /// answers off.
 #[test]
 fn an_endpoint_that_listens_has_not_ended() {
     let mut world = world();
-    let arrival = again(&mut world, STREAMS, Fingerprint(7));
+    let arrival = resent(&mut world, STREAMS, Fingerprint(7));
     let (request, first) = world.arrive_as(arrival);
     let mut attempt = first.unwrap();
     for _ in 0..4 {
-        attempt = break_off(&mut world, request, &attempt, false).1.unwrap();
+        attempt = disconnect_attempt(&mut world, request, &attempt, false)
+            .1
+            .unwrap();
     }
     assert_eq!(world.dispatcher.quarantine().crashes_of(fingerprint(7)), 0);
 }
 
 #[test]
-fn an_endpoint_is_checked_once_for_all_that_broke_off_there() {
+fn an_endpoint_is_checked_once_for_all_attempts_that_broke() {
     let mut world = world();
     world.handle(listed(vec![endpoint("only", "engines", "north", 9_200)]));
     let (one, first) = world.arrive(STREAMS);
@@ -132,24 +134,24 @@
     assert_eq!((first.len(), second.len()), (1, 0));
 }
 
-/// The request that the keys of the world's only organisation make of a content.
+/// The fingerprint that the keys of the only organisation give for this content.
 fn fingerprint(content: u64) -> Fingerprint {
     Fingerprint(content).for_organisation(Some(&"shop".parse().unwrap()))
 }
 
 #[test]
-fn a_request_under_which_two_engines_ended_runs_where_nothing_else_does() {
+fn a_request_after_two_crashes_runs_alone_on_its_endpoint() {
     let mut world = world();
-    let (_, beside) = world.arrive(STREAMS);
-    let arrival = again(&mut world, STREAMS, Fingerprint(7));
+    let (_, concurrent) = world.arrive(STREAMS);
+    let arrival = resent(&mut world, STREAMS, Fingerprint(7));
     let (request, first) = world.arrive_as(arrival);
-    let second = break_off(&mut world, request, &first.unwrap(), true).1;
-    let third = break_off(&mut world, request, &second.unwrap(), true).1;
+    let second = disconnect_attempt(&mut world, request, &first.unwrap(), true).1;
+    let third = disconnect_attempt(&mut world, request, &second.unwrap(), true).1;
     let alone = third.unwrap().endpoint;
-    assert_ne!(alone, beside.unwrap().endpoint);
+    assert_ne!(alone, concurrent.unwrap().endpoint);
     let fleet = world.dispatcher.fleet();
-    let told = fleet.own_usage(&alone).unwrap();
-    assert_eq!(told.running, 8, "all slots count as taken");
+    let usage = fleet.own_usage(&alone).unwrap();
+    assert_eq!(usage.running, 8, "all slots count as taken");
     for _ in 0..8 {
         let (_, other) = world.arrive(STREAMS);
         assert_ne!(other.unwrap().endpoint, alone);
@@ -157,27 +159,27 @@
 }
 
 #[test]
-fn its_slots_are_free_again_after_it() {
+fn slots_are_free_again_after_a_request_that_ran_alone() {
     let mut world = world();
-    let arrival = again(&mut world, STREAMS, Fingerprint(7));
+    let arrival = resent(&mut world, STREAMS, Fingerprint(7));
     let (request, first) = world.arrive_as(arrival);
-    let second = break_off(&mut world, request, &first.unwrap(), true).1;
-    let third = break_off(&mut world, request, &second.unwrap(), true).1;
+    let second = disconnect_attempt(&mut world, request, &first.unwrap(), true).1;
+    let third = disconnect_attempt(&mut world, request, &second.unwrap(), true).1;
     let third = third.unwrap();
     world.progress(request, third.attempt, 1);
     world.end(request, third.attempt, Outcome::StreamEnded);
-    let told = world.dispatcher.fleet().own_usage(&third.endpoint).unwrap();
-    assert_eq!(told.running, 0);
+    let usage = world.dispatcher.fleet().own_usage(&third.endpoint).unwrap();
+    assert_eq!(usage.running, 0);
     assert_eq!(world.dispatcher.quarantine().crashes_of(fingerprint(7)), 0);
 }
 
 #[test]
-fn what_others_quarantined_is_stopped_before_it_crashes_another_engine() {
+fn a_request_quarantined_by_a_peer_is_stopped_before_it_crashes_another_engine() {
     let mut world = world();
-    let arrival = again(&mut world, STREAMS, Fingerprint(7));
+    let arrival = resent(&mut world, STREAMS, Fingerprint(7));
     let (_, attempt) = world.arrive_as(arrival);
     assert!(attempt.is_some());
-    let news = CrashUpdate {
+    let update = CrashUpdate {
         quarantined: vec![RequestAge {
             request: fingerprint(7),
             age_ms: 5,
@@ -186,7 +188,7 @@
     };
     let done = world.handle(Event::PeerCrashes {
         domain: None,
-        update: news,
+        update,
     });
     assert_eq!(refusal(done), Some(RefusalReason::Quarantined));
 }
@@ -200,19 +202,19 @@
 ) {
     let mut world = world();
     for _ in 0..2 {
-        let arrival = again(&mut world, QUOTES, Fingerprint(9));
+        let arrival = resent(&mut world, QUOTES, Fingerprint(9));
         let (request, first) = world.arrive_as(arrival);
         let attempt = first.unwrap();
         world.end(request, attempt.attempt, BROKEN);
-        let life = attempt.endpoint.into();
+        let incarnation = attempt.endpoint.into();
         world.handle(Event::Checked {
-            endpoint: life,
+            endpoint: incarnation,
             has_exited: true,
         });
         world.handle(Event::CallerDisconnected(request));
         world.run(250);
     }
-    let arrival = again(&mut world, QUOTES, Fingerprint(9));
+    let arrival = resent(&mut world, QUOTES, Fingerprint(9));
     let (request, third) = world.arrive_as(arrival);
     let attempt = third.unwrap();
     let at_once = world.end(request, attempt.attempt, BROKEN).to_vec();
@@ -234,9 +236,9 @@
 }
 
 #[test]
-fn the_platform_keeps_a_verdict_once() {
+fn a_verdict_is_stored_once() {
     let mut world = world();
-    let done = crash(&mut world, Fingerprint(7), 3);
+    let done = crash_engines(&mut world, Fingerprint(7), 3);
     let kept = done
         .iter()
         .filter(|action| matches!(action, Action::SaveQuarantine { .. }));
@@ -251,7 +253,7 @@
 #[rstest]
 #[case::a_fleet_that_starts_for_the_first_time(true, 0)]
 #[case::a_fleet_that_has_run(false, 1)]
-fn what_the_platform_keeps_is_read_where_boxes_may_have_forgotten_it(
+fn stored_verdicts_are_read_unless_the_fleet_starts_for_the_first_time(
     #[case] first_start: bool,
     #[case] expected: usize,
 ) {
@@ -264,7 +266,7 @@
 }
 
 #[test]
-fn what_the_platform_kept_is_in_force_and_told() {
+fn stored_verdicts_are_enforced_and_gossiped() {
     let mut world = world();
     let kept = vec![RequestAge {
         request: fingerprint(7),
@@ -272,29 +274,29 @@
     }];
     world.handle(Event::QuarantineRead(kept));
     let done = world.run(400);
-    let told = done.iter().any(|action| match action {
+    let is_gossiped = done.iter().any(|action| match action {
         Action::Gossip { crashes, .. } => !crashes.quarantined.is_empty(),
         _ => false,
     });
-    assert!(told);
-    let arrival = again(&mut world, STREAMS, Fingerprint(7));
+    assert!(is_gossiped);
+    let arrival = resent(&mut world, STREAMS, Fingerprint(7));
     world.arrive_as(arrival);
     assert_eq!(refusal(&world.actions), Some(RefusalReason::Quarantined));
 }
 
-/// Attempts count from 1 in each try, so numbers of attempts tell nothing of crashes.
+/// Attempts are numbered from 1 in each try, so an attempt's number says nothing about crashes.
 #[test]
 fn a_verdict_outlasts_the_try_that_led_to_it() {
     let mut world = world();
     for _ in 0..3 {
-        let arrival = again(&mut world, STREAMS, Fingerprint(7));
+        let arrival = resent(&mut world, STREAMS, Fingerprint(7));
         let (request, first) = world.arrive_as(arrival);
         let attempt = first.unwrap();
         assert_eq!(attempt.attempt, AttemptNumber(1));
-        break_off(&mut world, request, &attempt, true);
+        disconnect_attempt(&mut world, request, &attempt, true);
         world.handle(Event::CallerDisconnected(request));
     }
     world.pass(60_000);
-    let arrival = again(&mut world, STREAMS, Fingerprint(7));
+    let arrival = resent(&mut world, STREAMS, Fingerprint(7));
     assert_eq!(world.arrive_as(arrival).1, None);
 }
--- a/tests/crashing_requests.rs
+++ b/tests/crashing_requests.rs
@@ -1,12 +1,13 @@
-//! Requests that crash every server that runs them, in whole fleets on made-up time.
+//! Requests that crash every server that runs them, in whole fleets on a simulated clock.
 //!
-//! What users saw: alerts each half second that a model server doesn't answer, 75 servers lost in a
-//! minute, and other callers' streams broken off again and again. Two requests ended each engine that
-//! began to run them. A box that read one tried it at five engines, one after the other; its caller
-//! sent it again, any other box read it, and began anew. Nothing remembered what had crashed.
+//! Guards against one request that takes down a fleet: two requests ended each engine that began to run
+//! them, so 75 servers were lost in a minute, an alert came each half second, and other callers' streams
+//! were interrupted again and again. A box that read such a request tried it at five engines, one after
+//! the other; its caller sent it again, and the next box began anew, since no box remembered what had
+//! crashed.
 //!
-//! Evidence: boxes' logs have nineteen tries of the two requests with 76 attempts; 74 of the 75 engines
-//! that broke a connection ran one of them, and attempts begin at 1 in each try.
+//! The boxes' logs show nineteen tries of the two requests with 76 attempts, numbered from 1 in each
+//! try; 74 of the 75 engines that broke a connection ran one of the two.
 
 use magpiemoor_lab::gateway::crashes::{Beside, Case, CrashAt};
 use rstest::rstest;
@@ -37,9 +38,9 @@
     assert_eq!(played.blamed, 0, "{played:?}");
 }
 
-/// Plays that broke a promise while this was built: all boxes killed and nothing kept; domains that
-/// fell beside; innocent streams that met the crashes of several others; a server that was back under
-/// its id before its birth was known.
+/// Cases that once violated an invariant: all boxes killed with nothing stored; domains that failed at the
+/// same time; innocent streams affected by the crashes of several others; a server that restarted under
+/// the same id before its start time was known.
 #[rstest]
 #[case::s9(9, 9)]
 #[case::s12(12, 9)]
@@ -54,14 +55,14 @@
 #[case::s9_30(9, 30)]
 #[case::s29_30(29, 30)]
 #[case::s49_30(49, 30)]
-fn what_once_broke_a_promise_keeps_it(#[case] seed: u64, #[case] boxes: usize) {
+fn seeds_that_once_violated_an_invariant_pass(#[case] seed: u64, #[case] boxes: usize) {
     let played = Case::draw(seed, boxes).play();
     assert!(!played.is_over_budget(), "{played:?}");
     assert_eq!(played.blamed, 0, "{played:?}");
 }
 
 /// Many crashing requests at once, or servers that end by themselves each 0.7 s: an innocent request that
-/// met three such ends at one point, and alone at the last, is taken for the cause.
+/// ran at three such ends at the same point, and alone at the last one, is blamed for them.
 #[rstest]
 #[case::s117(117, 9)]
 #[case::s158(158, 9)]
@@ -75,7 +76,7 @@
     assert_eq!(played.blamed, 0, "{played:?}");
 }
 
-/// Nine crashing requests before six servers, and all boxes killed before one of them was decided about.
+/// Nine crashing requests at six servers, and all boxes killed before any of them got a verdict.
 #[test]
 fn evidence_that_led_to_no_verdict_yet_outlasts_all_boxes() {
     let played = Case::draw(166, 9).play();
--- a/tests/duties.rs
+++ b/tests/duties.rs
@@ -1,5 +1,5 @@
-//! The duty to report usage, held by one of several boxes: seeded schedules of faults on made-up time,
-//! judged by what the platform sees.
+//! The duty to report usage, held by one of several boxes: seeded fault schedules on a simulated clock,
+//! checked against what the platform receives.
 
 #[path = "gateway/duty_world.rs"]
 mod duty_world;
@@ -15,22 +15,22 @@
 
 const LENGTH: Duration = Duration::from_secs(5);
 
-fn holder(id: &str, life: u64) -> Holder {
+fn holder(id: &str, incarnation: u64) -> Holder {
     Holder {
         id: id.parse().unwrap(),
-        incarnation: Incarnation(life),
+        incarnation: Incarnation(incarnation),
         address: "127.0.0.1:7200".parse().unwrap(),
     }
 }
 
-/// Seeds of schedules that are played each time; many more by hand with `DUTY_SEEDS`.
+/// Seeds of schedules that each run takes; set `DUTY_SEEDS` to run more.
 fn seeds() -> u64 {
     let wanted = std::env::var("DUTY_SEEDS").ok();
     wanted.and_then(|seeds| seeds.parse().ok()).unwrap_or(200)
 }
 
-/// Whatever fails, no two holders use one token, no smaller one is sent after a greater one by a box
-/// that runs and hears, and no window is reported in two ways.
+/// Under any fault, no two holders use one token, no box that runs and receives messages sends a smaller
+/// token after a greater one, and no window is reported with two different contents.
 #[test]
 fn one_box_at_a_time_acts_and_windows_are_reported_in_one_way() {
     for seed in 0..seeds() {
@@ -39,62 +39,62 @@
         } else {
             Schedule::random(seed)
         };
-        let played = World::run(schedule, HolderKind::Real);
-        assert_eq!(played.violations, [], "seed {seed}: {played:?}");
+        let outcome = World::run(schedule, HolderKind::Real);
+        assert_eq!(outcome.violations, [], "seed {seed}: {outcome:?}");
     }
 }
 
-/// Without a fault all windows are reported, in time and with what began in them.
+/// Without a fault all windows are reported, in time and with the requests that began in them.
 #[test]
-fn without_a_fault_every_window_is_reported_right_and_in_time() {
+fn without_a_fault_every_window_is_reported_correctly_and_in_time() {
     for seed in 0..20 {
-        let played = World::run(Schedule::without_faults(seed), HolderKind::Real);
-        assert_eq!(played.violations, [], "seed {seed}: {played:?}");
-        assert_eq!(played.incorrect, 0, "seed {seed}: {played:?}");
-        assert!(played.correct >= 8, "seed {seed}: {played:?}");
+        let outcome = World::run(Schedule::without_faults(seed), HolderKind::Real);
+        assert_eq!(outcome.violations, [], "seed {seed}: {outcome:?}");
+        assert_eq!(outcome.incorrect, 0, "seed {seed}: {outcome:?}");
+        assert!(outcome.correct >= 8, "seed {seed}: {outcome:?}");
     }
 }
 
-/// With faults most windows are.
+/// With faults most windows are reported correctly and in time.
 #[test]
-fn with_faults_nearly_all_windows_are_reported_right_and_in_time() {
-    let (mut right, mut wrong) = (0, 0);
+fn with_faults_nearly_all_windows_are_reported_correctly_and_in_time() {
+    let (mut correct, mut incorrect) = (0, 0);
     for seed in 0..100 {
-        let played = World::run(Schedule::one_kill(seed), HolderKind::Real);
-        right += played.correct;
-        wrong += played.incorrect;
+        let outcome = World::run(Schedule::one_kill(seed), HolderKind::Real);
+        correct += outcome.correct;
+        incorrect += outcome.incorrect;
     }
-    assert!(wrong * 50 <= right + wrong, "{wrong} wrong, {right} right");
+    assert!(
+        incorrect * 50 <= correct + incorrect,
+        "{incorrect} incorrect, {correct} correct"
+    );
 }
 
-/// The judge is one: holders that are wrong on purpose fail it where they should.
+/// Validates the checker: faulty holders must fail the checks meant for their faults.
 #[rstest]
 #[case::by_wall_clock(HolderKind::ByWallClock, Violation::LowerToken)]
 #[case::token_from_memory(HolderKind::TokenFromMemory, Violation::SharedToken)]
 #[case::counted_again(HolderKind::CountsAgain, Violation::TwoReports)]
-fn holders_that_are_wrong_on_purpose_are_found(
-    #[case] holding: HolderKind,
-    #[case] broken: Violation,
-) {
+fn the_checker_detects_faulty_holders(#[case] kind: HolderKind, #[case] violation: Violation) {
     let found = (0..200).any(|seed| {
-        let drawn = World::run(Schedule::random(seed), holding);
-        let slept = World::run(Schedule::one_suspended(seed), holding);
-        drawn.violations.contains(&broken) || slept.violations.contains(&broken)
+        let random = World::run(Schedule::random(seed), kind);
+        let suspended = World::run(Schedule::one_suspended(seed), kind);
+        random.violations.contains(&violation) || suspended.violations.contains(&violation)
     });
     assert!(found);
 }
 
 #[test]
-fn counts_of_all_lives_are_added_and_messages_may_come_twice() {
+fn counts_of_all_incarnations_are_added_and_messages_may_arrive_twice() {
     let mut reported = ReportedCounts::default();
     let day = UnixMillis(50_000);
     let organisation = "shop".parse().unwrap();
-    for (life, requests) in [(1, 3), (2, 4)] {
+    for (incarnation, requests) in [(1, 3), (2, 4)] {
         let mut counts = LocalCounts::new(LENGTH);
         for _ in 0..requests {
             counts.count(&organisation, day);
         }
-        let update = counts.update(&holder("box-1", life), day);
+        let update = counts.update(&holder("box-1", incarnation), day);
         reported.on_update(&update, Micros(1));
         reported.on_update(&update, Micros(2));
     }
@@ -102,9 +102,9 @@
     assert!(reported.totals(Window(11)).is_empty());
 }
 
-/// A window is whole once all boxes have told of it, or have not been heard for long.
+/// A window is complete once all boxes have reported it, or those that haven't were not seen for long.
 #[test]
-fn a_window_waits_for_all_boxes_that_are_heard() {
+fn a_window_waits_for_all_boxes_that_were_seen_recently() {
     let mut reported = ReportedCounts::default();
     let counts = LocalCounts::new(LENGTH);
     let report = |reported: &mut ReportedCounts, id: &str, day: u64, at: u64| {
--- a/tests/duty_counts.rs
+++ b/tests/duty_counts.rs
@@ -1,4 +1,4 @@
-//! What a box counts as begun, and whom it tells.
+//! Which requests a box counts as begun, and to which boxes it reports the counts.
 
 #[path = "gateway/fixtures.rs"]
 mod fixtures;
@@ -34,8 +34,8 @@
     world
 }
 
-/// What the box tells the one that watches the store, a while later.
-fn told(world: &mut World) -> Option<UsageCountUpdate> {
+/// The usage counts that the box reports to the store's watcher a while later.
+fn reported(world: &mut World) -> Option<UsageCountUpdate> {
     world.pass(1_000);
     world.handle(Event::Peer(BoxState {
         readers: vec![StoreReader {
@@ -48,22 +48,20 @@
     }));
     let done = world.handle(Event::TimeOfDay(UnixMillis(DAY + 1_000)));
     done.iter().find_map(|action| match action {
-        Action::PublishUsageCounts { to, update: news }
-            if *to == ["127.0.0.8:7200".parse().unwrap()] =>
-        {
-            Some(news.clone())
+        Action::PublishUsageCounts { to, update } if *to == ["127.0.0.8:7200".parse().unwrap()] => {
+            Some(update.clone())
         }
         _ => None,
     })
 }
 
-fn began(news: &UsageCountUpdate) -> u64 {
-    let counts = news.windows.iter().flat_map(|window| &window.counts);
+fn began(update: &UsageCountUpdate) -> u64 {
+    let counts = update.windows.iter().flat_map(|window| &window.counts);
     counts.map(|count| count.began).sum()
 }
 
 #[test]
-fn a_stream_counts_once_wherever_it_goes_on() {
+fn a_stream_counts_once_wherever_it_continues() {
     let mut world = world();
     let (request, first) = world.arrive(STREAMS);
     let first = first.unwrap();
@@ -72,7 +70,7 @@
     let done = world.actions.clone();
     let second = first_attempt(&done).or_else(|| first_attempt(&world.run(1_000)));
     world.progress(request, second.unwrap().attempt, 2);
-    assert_eq!(began(&told(&mut world).unwrap()), 1);
+    assert_eq!(began(&reported(&mut world).unwrap()), 1);
 }
 
 #[test]
@@ -84,11 +82,11 @@
     let (request, second) = world.arrive(QUOTES);
     let answered = Outcome::Answered { status: 200 };
     world.end(request, second.unwrap().attempt, answered);
-    assert_eq!(began(&told(&mut world).unwrap()), 1);
+    assert_eq!(began(&reported(&mut world).unwrap()), 1);
 }
 
 #[test]
-fn nothing_is_told_where_no_duty_is_asked_for() {
+fn nothing_is_reported_where_no_duty_is_configured() {
     let mut world = World::ready();
     world.handle(Event::TimeOfDay(UnixMillis(DAY)));
     assert!(world.actions.is_empty());
--- a/tests/fingerprint.rs
+++ b/tests/fingerprint.rs
@@ -1,4 +1,4 @@
-//! Which tries of callers are the same request.
+//! Which arrivals from callers count as the same request.
 
 use magpiemoor::schema::{Fingerprint, OrganisationId};
 use rstest::rstest;
@@ -24,7 +24,7 @@
 #[case::query("POST", "h.example", "/settle/4?x=1", b"statement")]
 #[case::body("POST", "h.example", "/settle/4", b"statements")]
 #[case::where_the_parts_end("POST", "h.example", "/settle/4state", b"ment")]
-fn another_request_has_another_one(
+fn another_request_has_another_fingerprint(
     #[case] method: &str,
     #[case] host: &str,
     #[case] target: &str,
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -1,4 +1,4 @@
-//! What 295 boxes in five failure domains know of each other, on made-up time.
+//! What 295 boxes in five failure domains know of each other, on a simulated clock.
 
 #[path = "gateway/fixtures.rs"]
 mod fixtures;
@@ -13,13 +13,13 @@
 use magpiemoor::gateway::dispatch::retry_budget::RetryPolicy;
 use rstest::rstest;
 
-/// Boxes of each failure domain: those of the users' large deployment.
+/// Boxes of each failure domain, as in the users' large deployment.
 const DOMAINS: [usize; 5] = [57, 68, 63, 51, 56];
-/// How many boxes of a domain may read the store when all start at once.
+/// Maximum number of boxes of a domain that read the store when all start at once.
 const MOST_READERS: usize = 4;
 
-/// How long after the first of them starts all boxes are ready, of which the last starts after
-/// 0.3 s: 0.38 s measured, 0.68 s if each box first hears others for 0.35 s.
+/// Time from the first start until all boxes are ready; the last box starts after 0.3 s. All are ready
+/// after 0.38 s, or after 0.68 s if each box first listens to others for 0.35 s.
 const ALL_READY: Duration = Duration::from_millis(500);
 
 fn seconds(seconds: u64) -> Duration {
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn who_watches_the_store_stays_put() {
+fn the_watchers_of_the_store_do_not_change() {
     let mut fleet = Fleet::starting(&DOMAINS, GENEROUS, 4);
     fleet.run(seconds(3));
     fleet.watching.clear();
@@ -68,11 +68,11 @@
     );
 }
 
-/// Whether each box that runs knows all that run in its domain.
+/// Whether each running box knows all running boxes of its domain.
 fn all_know_their_domain(fleet: &Fleet) -> bool {
     let running = |of: &FleetBox| {
-        let near = fleet.boxes.iter().filter(|b| b.domain == of.domain);
-        near.filter(|b| b.is_running).count()
+        let own_domain = fleet.boxes.iter().filter(|b| b.domain == of.domain);
+        own_domain.filter(|b| b.is_running).count()
     };
     let mut boxes = fleet.boxes.iter().filter(|b| b.is_running);
     boxes.all(|b| b.dispatcher.known_boxes().0 == running(b))
@@ -93,7 +93,7 @@
     );
 }
 
-/// Three boxes in four are new: they learn from peers, and nobody reads the store for them.
+/// Three boxes in four are new: they learn from peers, and no box reads the store on their behalf.
 #[test]
 fn boxes_that_join_learn_from_those_that_run() {
     let mut fleet = Fleet::starting(&[15, 15], GENEROUS, 9);
@@ -109,12 +109,11 @@
     assert_eq!(fleet.watching, []);
 }
 
-/// Two thirds of a domain lose power, and both boxes with them that watch the store. Those that are
-/// left know it after 3 to 7 s (7.0 s measured: most messages go to boxes that are gone, and the last
-/// beats of these come round slowly); the first of them watches the store after 5.1 s, and two do
-/// from 9 s on.
+/// Two thirds of a domain lose power, including both boxes that watch the store. The remaining boxes detect
+/// it after 3 to 7 s (up to 7.0 s, since most messages go to lost boxes and the last heartbeat counters of
+/// these spread slowly); the first of them watches the store after 5.1 s, and two do from 9 s on.
 #[test]
-fn boxes_that_are_gone_are_known_to_be() {
+fn lost_boxes_are_detected() {
     let mut fleet = Fleet::starting(&[30, 30], GENEROUS, 10);
     fleet.run(seconds(3));
     fleet.lose_power(seconds(60), |at| at < 20);
@@ -126,19 +125,23 @@
     assert!(fleet.watchers().values().all(|watchers| *watchers == 2));
 }
 
-/// What a box took for so before it froze is as old as before when it wakes.
+/// A process pause adds nothing to the age of the other boxes' states when the box resumes.
 #[test]
-fn a_box_that_froze_does_not_take_all_others_for_gone() {
+fn a_box_that_was_paused_does_not_assume_all_others_lost() {
     let mut fleet = Fleet::starting(&[30, 30], GENEROUS, 11);
     fleet.run(seconds(3));
-    let frozen = 29;
+    let paused = 29;
     fleet.watching.clear();
-    fleet.pause(frozen, seconds(20));
+    fleet.pause(paused, seconds(20));
     fleet.run(Duration::from_millis(20_010));
-    assert_eq!(fleet.boxes[frozen].dispatcher.known_boxes().0, 30);
+    assert_eq!(fleet.boxes[paused].dispatcher.known_boxes().0, 30);
     fleet.run(seconds(2));
-    let began = fleet.watching.iter().filter(|(_, at, _)| *at == frozen);
-    assert_eq!(began.count(), 0, "it doesn't begin to watch the store");
+    let began = fleet.watching.iter().filter(|(_, at, _)| *at == paused);
+    assert_eq!(
+        began.count(),
+        0,
+        "a resumed box must not begin to watch the store"
+    );
 }
 
 /// All retries of the fleet stay under the users' bound, though no box knows what the others send.
@@ -172,8 +175,8 @@
     );
 }
 
-/// What one box of a domain doesn't need, another one has: all streams of a box go on though its
-/// own requests allow fewer retries than it needs.
+/// Boxes of a domain share their retries: all streams of a box go on though its own requests allow fewer
+/// retries than it needs.
 #[test]
 fn a_box_whose_streams_all_break_has_the_retries_of_its_domain() {
     let policy = RetryPolicy {
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -1,4 +1,4 @@
-//! How boxes come to know each other, on made-up time.
+//! How boxes discover each other, on a simulated clock.
 
 #[path = "gateway/fixtures.rs"]
 mod fixtures;
@@ -16,14 +16,14 @@
     SocketAddr::from(([127, 0, 0, 9], port))
 }
 
-fn named(domain: &str, port: u16) -> PeerAddress {
+fn peer_address(domain: &str, port: u16) -> PeerAddress {
     PeerAddress {
         address: address(port).to_string(),
         domain: domain.parse().unwrap(),
     }
 }
 
-/// The state of a box that names others.
+/// The state of a box that lists other boxes as its peers.
 fn state(from: &str, domain: &str, port: u16, peers: Vec<PeerAddress>) -> Event {
     Event::Peer(BoxState {
         peers,
@@ -31,19 +31,19 @@
     })
 }
 
-/// Whom the news of attempts go to.
-fn told_of_attempts(world: &mut World) -> BTreeSet<SocketAddr> {
+/// The boxes to which updates of attempts are sent.
+fn attempt_update_targets(world: &mut World) -> BTreeSet<SocketAddr> {
     world.arrive(STREAMS);
     let actions = world.run(30);
-    let told = actions.iter().filter_map(|action| match action {
+    let targets = actions.iter().filter_map(|action| match action {
         Action::GossipUsage { to, .. } => Some(to.clone()),
         _ => None,
     });
-    told.flatten().collect()
+    targets.flatten().collect()
 }
 
-/// What boxes of a port are sent, within a while: the ports of the boxes that are named to them.
-fn named_to(world: &mut World, receivers: std::ops::Range<u16>) -> Vec<Vec<u16>> {
+/// The ports of the peers that are listed in messages to boxes with these ports, within a while.
+fn ports_listed_to(world: &mut World, receivers: std::ops::Range<u16>) -> Vec<Vec<u16>> {
     let mut found = Vec::new();
     for action in world.run(2_500) {
         if let Action::Gossip { to, state, .. } = action
@@ -51,8 +51,8 @@
         {
             let members = state.members.iter();
             let members = members.map(|member| unpack_address(&member.address).unwrap().port());
-            let others = state.peers.iter().map(|named| {
-                let address: SocketAddr = named.address.parse().unwrap();
+            let others = state.peers.iter().map(|peer| {
+                let address: SocketAddr = peer.address.parse().unwrap();
                 address.port()
             });
             found.push(members.chain(others).collect());
@@ -62,41 +62,41 @@
 }
 
 #[test]
-fn a_box_of_the_own_domain_that_a_peer_names_is_told_of_attempts() {
+fn a_box_of_the_own_domain_that_a_peer_lists_is_sent_updates_of_attempts() {
     let mut world = World::ready();
-    let peers = vec![named("north", 7_300), named("south", 7_301)];
+    let peers = vec![peer_address("north", 7_300), peer_address("south", 7_301)];
     world.handle(state("box-2", "south", 7_200, peers));
-    assert_eq!(told_of_attempts(&mut world), [address(7_300)].into());
+    assert_eq!(attempt_update_targets(&mut world), [address(7_300)].into());
 }
 
 #[test]
-fn a_box_that_nobody_names_any_more_is_forgotten() {
+fn a_box_that_no_peer_lists_any_more_is_removed() {
     let mut world = World::ready();
-    let peers = vec![named("north", 7_300)];
+    let peers = vec![peer_address("north", 7_300)];
     world.handle(state("box-2", "north", 7_200, peers));
     world.run(31_000);
-    assert!(told_of_attempts(&mut world).is_empty());
+    assert!(attempt_update_targets(&mut world).is_empty());
 }
 
 #[test]
-fn a_message_names_mostly_boxes_of_the_domain_that_it_goes_to() {
+fn a_message_lists_mostly_boxes_of_the_receiving_domain() {
     let mut world = World::ready();
     for number in 0..20 {
-        let near = format!("box-n{number}");
-        world.handle(state(&near, "north", 7_300 + number, Vec::new()));
-        let far = format!("box-s{number}");
-        world.handle(state(&far, "south", 7_400 + number, Vec::new()));
+        let local = format!("box-n{number}");
+        world.handle(state(&local, "north", 7_300 + number, Vec::new()));
+        let remote = format!("box-s{number}");
+        world.handle(state(&remote, "south", 7_400 + number, Vec::new()));
     }
-    let far = named_to(&mut world, 7_400..7_420);
-    assert!(!far.is_empty());
-    for ports in far {
+    let remote = ports_listed_to(&mut world, 7_400..7_420);
+    assert!(!remote.is_empty());
+    for ports in remote {
         let of_receivers = ports.iter().filter(|port| **port >= 7_400).count();
         assert_eq!((of_receivers, ports.len()), (8, 12), "{ports:?}");
     }
 }
 
 #[test]
-fn in_time_every_box_is_named() {
+fn every_box_is_listed_eventually() {
     let mut world = World::ready();
     let mut seen = BTreeSet::new();
     for _ in 0..10 {
@@ -104,7 +104,11 @@
             let name = format!("box-n{number}");
             world.handle(state(&name, "north", 7_300 + number, Vec::new()));
         }
-        seen.extend(named_to(&mut world, 7_300..7_320).into_iter().flatten());
+        seen.extend(
+            ports_listed_to(&mut world, 7_300..7_320)
+                .into_iter()
+                .flatten(),
+        );
     }
     assert_eq!(seen.len(), 20, "{seen:?}");
 }
--- a/tests/packed.rs
+++ b/tests/packed.rs
@@ -1,4 +1,4 @@
-//! A configuration's text as it goes between boxes.
+//! The compressed form in which boxes send a configuration's text to each other.
 
 use magpiemoor::gateway::shell::packed::PackedText;
 use proptest::prelude::*;
@@ -26,7 +26,7 @@
     }
 }
 
-/// Few bytes that unpack to many would take a box's memory.
+/// A few bytes that unpack to many would exhaust a box's memory.
 #[rstest]
 #[case::shorter(10)]
 #[case::longer(5_000)]
@@ -42,7 +42,7 @@
 #[test]
 fn routes_take_a_sixth_of_their_text_or_less() {
     let route = |n: u64| {
-        // Names that are as hard to pack as random ones.
+        // Names that compress as badly as random ones.
         let word = n.wrapping_mul(0x9e37_79b9_7f4a_7c15);
         format!(
             "{{\"name\":\"r-{word:016x}\",\"host\":\"shop.example\",\"path_prefix\":\"/{n}/\",\
--- a/tests/quarantine.rs
+++ b/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! Which requests are to blame for endpoints that end under them.
+//! Which requests are to blame for endpoints whose processes end while they run.
 
 use std::time::Duration;
 
@@ -16,14 +16,14 @@
     START.after(Duration::from_secs(seconds))
 }
 
-/// Notes a crash, and decides about it; returns whether the request is quarantined by it.
-fn note(quarantine: &mut Quarantine, request: Fingerprint, crash: &Crash) -> bool {
+/// Records a crash and evaluates the quarantine; returns whether the request is now quarantined.
+fn record(quarantine: &mut Quarantine, request: Fingerprint, crash: &Crash) -> bool {
     let evaluated_at = crash.at.after(EVALUATION_DELAY);
     quarantine.on_crash(request, crash.clone(), crash.at);
     quarantine.evaluate(evaluated_at).contains(&request)
 }
 
-/// The end of the engine of a number, with nothing beside.
+/// The crash of the engine with this number, without concurrent requests.
 fn crash(engine: u64, now: Micros) -> Crash {
     Crash {
         endpoint: format!("engine-{engine}").parse().unwrap(),
@@ -36,7 +36,7 @@
     }
 }
 
-/// Has requests run together at engines that end, one after the other.
+/// Lets these requests run concurrently at engines that end, one after the other.
 fn crash_together(quarantine: &mut Quarantine, requests: &[Fingerprint], engines: u64) {
     for engine in 1..=engines {
         for request in requests {
@@ -55,14 +55,14 @@
 fn three_crashes_of_a_request_that_ran_alone_quarantine_it() {
     let mut quarantine = Quarantine::default();
     for engine in 1..=2 {
-        assert!(!note(&mut quarantine, GUILTY, &crash(engine, at(engine))));
+        assert!(!record(&mut quarantine, GUILTY, &crash(engine, at(engine))));
     }
-    assert!(note(&mut quarantine, GUILTY, &crash(3, at(3))));
+    assert!(record(&mut quarantine, GUILTY, &crash(3, at(3))));
     assert!(quarantine.is_quarantined(GUILTY));
 }
 
 #[test]
-fn one_engine_counts_once_however_many_boxes_tell_of_it() {
+fn one_engine_counts_once_however_many_boxes_report_it() {
     let mut quarantine = Quarantine::default();
     for millis in 0..4 {
         let now = START.after(Duration::from_millis(100 * millis));
@@ -71,8 +71,8 @@
     assert_eq!(quarantine.crashes_of(GUILTY), 1);
 }
 
-/// Seen with seed 108 of `magpiemoor-lab crashes` at 9 boxes: a server that was back under its id ended
-/// again before its birth was known, and its second end passed for the first one.
+/// Guards against counting two crashes as one: a server that restarted under the same id ended again
+/// before its start time was known (seed 108 of `magpiemoor-lab crashes` with 9 boxes).
 #[test]
 fn an_engine_that_is_back_under_its_id_counts_again() {
     let mut quarantine = Quarantine::default();
@@ -83,62 +83,62 @@
 }
 
 #[test]
-fn of_two_that_ran_beside_each_other_the_one_that_is_served_is_innocent() {
+fn of_two_concurrent_requests_the_one_that_is_served_is_innocent() {
     let mut quarantine = Quarantine::default();
     crash_together(&mut quarantine, &[GUILTY, INNOCENT], 3);
     assert!(!quarantine.is_quarantined(GUILTY) && !quarantine.is_quarantined(INNOCENT));
     quarantine.on_served(INNOCENT, at(5));
     assert_eq!(quarantine.crashes_of(INNOCENT), 0);
-    assert!(note(&mut quarantine, GUILTY, &crash(4, at(6))));
+    assert!(record(&mut quarantine, GUILTY, &crash(4, at(6))));
 }
 
 #[test]
-fn a_crash_beside_a_request_that_is_quarantined_is_explained() {
+fn a_crash_concurrent_with_a_quarantined_request_blames_no_other() {
     let mut quarantine = Quarantine::default();
     crash_together(&mut quarantine, &[GUILTY, INNOCENT], 2);
-    assert!(note(&mut quarantine, GUILTY, &crash(3, at(3))));
+    assert!(record(&mut quarantine, GUILTY, &crash(3, at(3))));
     assert_eq!(quarantine.crashes_of(INNOCENT), 0);
 }
 
 #[test]
-fn who_ran_beside_and_was_not_told_of_may_be_to_blame() {
+fn an_unreported_concurrent_request_may_be_to_blame() {
     let mut quarantine = Quarantine::default();
     for engine in 1..=4 {
         let crash = Crash {
             beside: 1,
             ..crash(engine, at(engine))
         };
-        assert!(!note(&mut quarantine, INNOCENT, &crash));
+        assert!(!record(&mut quarantine, INNOCENT, &crash));
     }
 }
 
-/// What ran beside at boxes of other domains is known a little later.
+/// The concurrent requests at boxes of other domains are reported with a delay.
 #[test]
-fn a_request_is_decided_about_once_others_have_told() {
+fn a_request_is_evaluated_once_other_boxes_have_reported() {
     let mut quarantine = Quarantine::default();
     for engine in 1..=2 {
-        note(&mut quarantine, INNOCENT, &crash(engine, at(engine)));
+        record(&mut quarantine, INNOCENT, &crash(engine, at(engine)));
     }
     quarantine.on_crash(INNOCENT, crash(3, at(3)), at(3));
     assert!(quarantine.evaluate(at(3)).is_empty());
     let mut elsewhere = Quarantine::default();
     crash_together(&mut elsewhere, &[GUILTY], 3);
-    let news = elsewhere.update_for_state(at(3));
+    let update = elsewhere.update_for_state(at(3));
     let soon = at(3).after(Duration::from_millis(60));
-    quarantine.on_peer_update(&news, false, soon);
+    quarantine.on_peer_update(&update, false, soon);
     assert!(quarantine.evaluate(at(4)).is_empty());
     assert!(!quarantine.is_quarantined(INNOCENT));
 }
 
 #[test]
-fn what_fell_with_its_domain_is_not_to_blame() {
+fn requests_that_failed_with_their_domain_are_not_to_blame() {
     let mut quarantine = Quarantine::default();
     for engine in 1..=4 {
         let crash = Crash {
             fell_with_domain: true,
             ..crash(engine, at(engine))
         };
-        assert!(!note(&mut quarantine, INNOCENT, &crash));
+        assert!(!record(&mut quarantine, INNOCENT, &crash));
     }
     assert_eq!(quarantine.crashes_of(INNOCENT), 0);
 }
@@ -153,8 +153,8 @@
     assert_eq!(quarantine.crashes_of(INNOCENT), 0);
 }
 
-/// A request that crashes its engine 60 ms after it began gives an event or two each time, and would
-/// be taken for one that gets on.
+/// A request that crashes its engine 60 ms after its start gives an event or two each time, which must
+/// not count as progress.
 #[test]
 fn a_few_events_more_are_not_past_the_point() {
     let mut quarantine = Quarantine::default();
@@ -167,13 +167,13 @@
             ran,
             ..crash(engine, at(engine))
         };
-        note(&mut quarantine, GUILTY, &crash);
+        record(&mut quarantine, GUILTY, &crash);
     }
     assert!(quarantine.is_quarantined(GUILTY));
 }
 
 #[test]
-fn crashes_at_different_points_are_not_of_the_request_s_own_doing() {
+fn crashes_at_different_points_do_not_blame_the_request() {
     let mut quarantine = Quarantine::default();
     for engine in 1..=4 {
         let crash = Crash {
@@ -181,7 +181,7 @@
             ran: Duration::from_secs(5 - engine),
             ..crash(engine, at(engine))
         };
-        assert!(!note(&mut quarantine, INNOCENT, &crash));
+        assert!(!record(&mut quarantine, INNOCENT, &crash));
     }
     assert_eq!(quarantine.crashes_of(INNOCENT), 1);
 }
@@ -196,7 +196,7 @@
 }
 
 #[test]
-fn a_request_is_forgotten_after_its_time() {
+fn a_request_is_removed_after_its_retention_time() {
     let mut quarantine = Quarantine::default();
     crash_together(&mut quarantine, &[GUILTY], 3);
     let before = at(2).after(CRASH_RETENTION);
@@ -222,55 +222,55 @@
     );
 }
 
-fn all_news(quarantine: &mut Quarantine, now: Micros) -> CrashUpdate {
+fn all_updates(quarantine: &mut Quarantine, now: Micros) -> CrashUpdate {
     let mut all = CrashUpdate::default();
     while quarantine.has_unpublished() {
-        let news = quarantine.take_unpublished(now);
-        all.crashes.extend(news.crashes);
-        all.served.extend(news.served);
-        all.quarantined.extend(news.quarantined);
+        let update = quarantine.take_unpublished(now);
+        all.crashes.extend(update.crashes);
+        all.served.extend(update.served);
+        all.quarantined.extend(update.quarantined);
     }
     all
 }
 
 #[test]
-fn boxes_put_together_what_each_saw() {
+fn boxes_combine_their_crash_reports() {
     let (mut one, mut other) = (Quarantine::default(), Quarantine::default());
     one.on_crash(GUILTY, crash(1, at(1)), at(1));
     other.on_crash(GUILTY, crash(2, at(2)), at(2));
-    one.on_peer_update(&all_news(&mut other, at(2)), true, at(2));
-    assert!(note(&mut one, GUILTY, &crash(3, at(3))));
-    let told = other.on_peer_update(&all_news(&mut one, at(3)), true, at(3));
-    assert_eq!(told, [GUILTY]);
+    one.on_peer_update(&all_updates(&mut other, at(2)), true, at(2));
+    assert!(record(&mut one, GUILTY, &crash(3, at(3))));
+    let added = other.on_peer_update(&all_updates(&mut one, at(3)), true, at(3));
+    assert_eq!(added, [GUILTY]);
     assert!(one.is_recorded_here(GUILTY) && !other.is_recorded_here(GUILTY));
 }
 
-/// A box that has started knows nobody who ran beside, and could not come to the verdict itself.
+/// A box that has just started knows of no concurrent requests, so it can't reach the verdict itself.
 #[rstest]
 #[case::by_another_box(false)]
 #[case::by_the_platform(true)]
-fn a_verdict_is_taken_over(#[case] by_platform: bool) {
+fn a_verdict_is_adopted(#[case] by_platform: bool) {
     let mut known = Quarantine::default();
     crash_together(&mut known, &[GUILTY], 3);
-    let news = known.verdicts(at(5));
+    let update = known.verdicts(at(5));
     let mut started = Quarantine::default();
-    let told = if by_platform {
-        started.on_stored(&news.quarantined, at(5))
+    let added = if by_platform {
+        started.on_stored(&update.quarantined, at(5))
     } else {
-        started.on_peer_update(&news, true, at(5))
+        started.on_peer_update(&update, true, at(5))
     };
-    assert_eq!(told, [GUILTY]);
+    assert_eq!(added, [GUILTY]);
     assert!(started.is_quarantined(GUILTY));
     let later = at(10).after(CRASH_RETENTION);
     assert_eq!(
         started.forget_old(later),
         [(GUILTY, false)],
-        "another box sees to the store"
+        "another box updates the store"
     );
 }
 
 #[test]
-fn a_verdict_from_before_it_was_served_is_not_taken_over() {
+fn a_verdict_older_than_a_served_request_is_not_adopted() {
     let (mut one, mut other) = (Quarantine::default(), Quarantine::default());
     crash_together(&mut one, &[GUILTY], 3);
     other.on_crash(GUILTY, crash(9, at(1)), at(1));
@@ -280,25 +280,25 @@
             .on_peer_update(&one.verdicts(at(9)), true, at(9))
             .is_empty()
     );
-    let released = all_news(&mut other, at(9));
+    let released = all_updates(&mut other, at(9));
     one.on_peer_update(&released, true, at(9));
     assert!(!one.is_quarantined(GUILTY));
 }
 
-/// What is told again and again grows older by its way each time: it must not become news by that.
+/// A report ages by its transit time with each hop between boxes; that must not make it an update.
 #[test]
-fn what_goes_round_between_boxes_comes_to_rest() {
+fn reports_between_boxes_stop_when_nothing_is_new() {
     let (mut one, mut other) = (Quarantine::default(), Quarantine::default());
     one.on_crash(INNOCENT, crash(1, at(1)), at(1));
     one.on_served(INNOCENT, at(2));
     for round in 0..50 {
         let now = at(2).after(Duration::from_millis(10 * round));
-        let news = one.update_for_state(now);
-        other.on_peer_update(&news, false, now.after(Duration::from_millis(2)));
-        let news = other.update_for_state(now);
-        one.on_peer_update(&news, false, now.after(Duration::from_millis(4)));
+        let update = one.update_for_state(now);
+        other.on_peer_update(&update, false, now.after(Duration::from_millis(2)));
+        let update = other.update_for_state(now);
+        one.on_peer_update(&update, false, now.after(Duration::from_millis(4)));
     }
-    all_news(&mut other, at(3));
+    all_updates(&mut other, at(3));
     let late = at(20);
     assert_eq!(one.update_for_state(late), CrashUpdate::default());
     assert_eq!(other.update_for_state(late), CrashUpdate::default());
@@ -310,8 +310,8 @@
     for number in 0..500 {
         quarantine.on_crash(Fingerprint(number), crash(number, at(1)), at(1));
     }
-    let news = quarantine.update_for_state(at(1));
-    assert!(news.crashes.len() <= 24, "{}", news.crashes.len());
+    let update = quarantine.update_for_state(at(1));
+    assert!(update.crashes.len() <= 24, "{}", update.crashes.len());
     let unpublished = quarantine.take_unpublished(at(1));
     assert!(unpublished.crashes.len() <= 24 && quarantine.has_unpublished());
 }
--- a/tests/store_watchers.rs
+++ b/tests/store_watchers.rs
@@ -1,4 +1,4 @@
-//! Which boxes watch the store, and what a box that starts is told, on made-up time.
+//! Which boxes watch the store, and what a box that starts is sent, on a simulated clock.
 
 #[path = "gateway/fixtures.rs"]
 mod fixtures;
@@ -39,7 +39,7 @@
 #[case::after_it(&["x", "y"], "north", 100, None)]
 #[case::of_another_domain(&["a", "b"], "south", 100, None)]
 #[case::not_answered_lately(&["a", "b"], "north", 9_000, None)]
-fn a_box_steps_back_from_reading_the_store_for_two_others_of_its_domain(
+fn a_box_stops_reading_the_store_for_two_others_of_its_domain(
     #[case] readers: &[&str],
     #[case] domain: &str,
     #[case] age_ms: u32,
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_box_reads_the_store_again_when_its_readers_are_gone() {
+fn a_box_reads_the_store_again_when_its_readers_are_lost() {
     let mut world = World::ready();
     assert_eq!(reads_store(&world.run(1_000)), Some(true));
     let mut done = Vec::new();
@@ -76,13 +76,13 @@
 }
 
 #[test]
-fn a_box_that_starts_reads_the_store_soon_if_nobody_tells_it_of_readers() {
+fn a_box_that_starts_reads_the_store_soon_if_no_peer_reports_readers() {
     let mut world = World::empty(GENEROUS);
     assert_eq!(reads_store(&world.run(450)), Some(true));
 }
 
 #[test]
-fn a_box_that_starts_and_is_told_of_readers_does_not_read_the_store() {
+fn a_box_that_starts_does_not_read_the_store_if_peers_report_readers() {
     let mut world = World::empty(GENEROUS);
     for _ in 0..4 {
         let mut state = peer("box-2", 1);
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn a_box_that_begins_to_read_the_store_tells_its_domain_at_once() {
+fn a_box_that_begins_to_read_the_store_notifies_its_domain_at_once() {
     let mut world = World::empty(GENEROUS);
     world.handle(Event::Peer(peer("box-2", 1)));
     let done = world.run(500);
@@ -167,26 +167,29 @@
 }
 
 #[test]
-fn a_box_that_starts_is_told_at_once_how_others_stand() {
+fn a_box_that_starts_is_sent_the_states_of_others_at_once() {
     let mut world = World::ready();
-    let is_told = |actions: &[Action]| {
+    let is_sent_state = |actions: &[Action]| {
         actions.iter().any(|action| {
             matches!(action, Action::Gossip { to, .. } if *to == vec!["127.0.0.2:7200".parse().unwrap()])
         })
     };
     world.run(50);
     world.handle(Event::Peer(peer("box-2", 1)));
-    assert!(is_told(&world.actions));
+    assert!(is_sent_state(&world.actions));
     world.pass(20);
     world.handle(Event::Peer(peer("box-2", 1)));
-    assert!(!is_told(&world.actions), "it is known now");
+    assert!(!is_sent_state(&world.actions), "it is known now");
     world.pass(20);
     let mut restarted = peer("box-2", 1);
     restarted.incarnation = Incarnation(2);
     world.handle(Event::Peer(restarted.clone()));
-    assert!(is_told(&world.actions));
+    assert!(is_sent_state(&world.actions));
     restarted.incarnation = Incarnation(3);
     restarted.readers = vec![reader("a", "north", 0), reader("b", "north", 0)];
     world.handle(Event::Peer(restarted));
-    assert!(!is_told(&world.actions), "it has been told by others");
+    assert!(
+        !is_sent_state(&world.actions),
+        "other boxes sent it their states"
+    );
 }
